--- a/include/ibisnotch/peer-link.h
+++ b/include/ibisnotch/peer-link.h
@@ -33,7 +33,7 @@
     std::vector<CompactLoad> loads; // of the sender's region only
     std::vector<RegionLoad> regionLoads;
     std::vector<CrashMark> marks;
-    std::vector<SilenceNews> silences; // since protocol 2, as the next
+    std::vector<SilenceUpdate> silences; // since protocol 2, as the next
     std::vector<RangeNews> ranges;
     std::vector<RangeMark> rangeMarks; // since protocol 3, as the next
     std::vector<ColdNews> colds;
--- a/include/ibisnotch/silence.h
+++ b/include/ibisnotch/silence.h
@@ -8,25 +8,25 @@
 
 namespace ibisnotch {
 
-// Before a request is sent. Returns the server's turn, for noteStream and noteOver.
-std::uint32_t noteSent(ServerCounters &counters, TimePoint now);
+// Before a request is sent. Returns the server's turn, for recordStreamStarted and recordFinished.
+std::uint32_t recordSent(ServerCounters &counters, TimePoint now);
 
-// A request's stream has begun. True if it counts, which noteOver is to be told.
-bool noteStream(ServerCounters &counters, std::uint32_t turn);
+// A request's stream has begun. True if it counts, which recordFinished is to be told.
+bool recordStreamStarted(ServerCounters &counters, std::uint32_t turn);
 
 // A request is over.
-void noteOver(ServerCounters &counters, std::uint32_t turn, bool streamCounted);
+void recordFinished(ServerCounters &counters, std::uint32_t turn, bool streamCounted);
 
 // The server is taken for sound again. What was sent before may hang for good, whatever the server
 // does now: streams that a server had lost with its power made it silent again at once after each
 // health check, until none was believed.
-void noteGivenBack(ServerCounters &counters, TimePoint now);
+void recordRecovered(ServerCounters &counters, TimePoint now);
 
 // A byte of any answer came.
-void noteHeard(ServerCounters &counters, TimePoint now);
+void recordReceived(ServerCounters &counters, TimePoint now);
 
 // Whether anything came from the server within the last `span`.
-bool heardWithin(const ServerCounters &counters, Duration span, TimePoint now);
+bool receivedWithin(const ServerCounters &counters, Duration span, TimePoint now);
 
 // True once a server keeps all that this instance waits for there waiting longer than a sound one
 // mostly would. What the instance waits for may be one stream, so this is no proof.
@@ -34,23 +34,23 @@
 
 // Whether to ask a silent server now if it lives, before what runs there is ended. Counts as asked
 // if so; for one caller at a time.
-bool takeQuestion(ServerCounters &counters, TimePoint now);
+bool tryAcquireHealthCheck(ServerCounters &counters, TimePoint now);
 
 // How the question ended.
-void noteQuestionOver(ServerCounters &counters, bool answered, TimePoint now);
+void recordHealthCheck(ServerCounters &counters, bool answered, TimePoint now);
 
 // True once a server is silent and has not answered, either, when it was asked.
 bool isUnresponsive(const ServerCounters &counters, TimePoint now);
 
 // What instances of a region tell each other at once, so that those which wait for nothing there
 // send nothing there either.
-struct SilenceNews
+struct SilenceUpdate
 {
     std::uint32_t server = 0; // serverId of its name
     bool silent = true; // false: heard again
 
     template <typename Archive> void serialize(Archive &archive) { archive(server, silent); }
-    bool operator==(const SilenceNews &) const = default;
+    bool operator==(const SilenceUpdate &) const = default;
 };
 
 } // namespace ibisnotch
--- a/src/decide/silence.cc
+++ b/src/decide/silence.cc
@@ -8,23 +8,23 @@
 
 // All streams of a server pausing together: callers leave one that brings nothing for two seconds,
 // and going on elsewhere takes the better part of one.
-constexpr Duration shortestSilence = std::chrono::milliseconds(600);
+constexpr Duration minSilence = std::chrono::milliseconds(600);
 // A slow server's streams pause for longer than that; so many of its usual pauses show that it is
 // not merely slow.
-constexpr double usualPauses = 4;
+constexpr double maxUsualIntervals = 4;
 // An answer without a stream: half of the two seconds after which callers go elsewhere.
-constexpr Duration longestWaitForAnswer = std::chrono::milliseconds(1000);
-constexpr Duration askAgainAfter = std::chrono::milliseconds(300);
+constexpr Duration maxAnswerWait = std::chrono::milliseconds(1000);
+constexpr Duration healthCheckInterval = std::chrono::milliseconds(300);
 
-Duration longestPauseOfStreams(const ServerCounters &counters)
+Duration maxStreamPause(const ServerCounters &counters)
 {
-    const std::chrono::duration<double> pauses(usualPauses * counters.eventSeconds);
-    return std::max(shortestSilence, std::chrono::duration_cast<Duration>(pauses));
+    const std::chrono::duration<double> pauses(maxUsualIntervals * counters.eventSeconds);
+    return std::max(minSilence, std::chrono::duration_cast<Duration>(pauses));
 }
 
 // One or two streams pause together by chance, on a server whose others go on; an instance of a
 // large region has no more there. What the server answered to others tells.
-Duration::rep quietSince(const ServerCounters &counters)
+Duration::rep lastActivity(const ServerCounters &counters)
 {
     return std::max(
         {counters.heardAt.load(), counters.waitingSince.load(), counters.answeredAt.load()});
@@ -32,7 +32,7 @@
 
 } // namespace
 
-std::uint32_t noteSent(ServerCounters &counters, TimePoint now)
+std::uint32_t recordSent(ServerCounters &counters, TimePoint now)
 {
     counters.sentAt = now.time_since_epoch().count();
     if (counters.awaited++ <= 0)
@@ -40,7 +40,7 @@
     return counters.turn;
 }
 
-bool noteStream(ServerCounters &counters, std::uint32_t turn)
+bool recordStreamStarted(ServerCounters &counters, std::uint32_t turn)
 {
     const bool counts = counters.turn == turn;
     counters.streaming += counts ? 1 : 0;
@@ -49,7 +49,7 @@
 
 // A turn that rises in between leaves a count one too low until the next turn: one request less is
 // heeded, none is taken for one that hangs.
-void noteOver(ServerCounters &counters, std::uint32_t turn, bool streamCounted)
+void recordFinished(ServerCounters &counters, std::uint32_t turn, bool streamCounted)
 {
     if (counters.turn != turn)
         return;
@@ -57,7 +57,7 @@
     counters.streaming -= streamCounted ? 1 : 0;
 }
 
-void noteGivenBack(ServerCounters &counters, TimePoint now)
+void recordRecovered(ServerCounters &counters, TimePoint now)
 {
     ++counters.turn;
     counters.awaited = 0;
@@ -65,12 +65,12 @@
     counters.givenBackAt = now.time_since_epoch().count();
 }
 
-void noteHeard(ServerCounters &counters, TimePoint now)
+void recordReceived(ServerCounters &counters, TimePoint now)
 {
     counters.heardAt = now.time_since_epoch().count();
 }
 
-bool heardWithin(const ServerCounters &counters, Duration span, TimePoint now)
+bool receivedWithin(const ServerCounters &counters, Duration span, TimePoint now)
 {
     return now.time_since_epoch() - Duration(counters.heardAt.load()) < span;
 }
@@ -82,33 +82,32 @@
     // First tokens say nothing: at a full engine they take seconds, and taking 1 s for silence had
     // instances drop sound engines. Of an engine that is just back in use and has sent nothing yet,
     // they do: it is not full, and the check that brought it back may have lied.
-    const bool heardSinceBack = counters.heardAt >= counters.givenBackAt;
+    const bool receivedSinceRecovery = counters.heardAt >= counters.givenBackAt;
     const bool firstTokensOnly = counters.streaming <= 0 && counters.awaitingFirst > 0;
-    if (firstTokensOnly && heardSinceBack)
+    if (firstTokensOnly && receivedSinceRecovery)
         return false;
-    const Duration since(quietSince(counters));
-    const Duration allowed
-        = counters.streaming > 0 ? longestPauseOfStreams(counters) : longestWaitForAnswer;
+    const Duration since(lastActivity(counters));
+    const Duration allowed = counters.streaming > 0 ? maxStreamPause(counters) : maxAnswerWait;
     return now.time_since_epoch() - since >= allowed;
 }
 
-bool takeQuestion(ServerCounters &counters, TimePoint now)
+bool tryAcquireHealthCheck(ServerCounters &counters, TimePoint now)
 {
     const TimePoint asked{Duration(counters.askedAt.load())};
-    if (!isSilent(counters, now) || now - asked < askAgainAfter)
+    if (!isSilent(counters, now) || now - asked < healthCheckInterval)
         return false;
     counters.askedAt = now.time_since_epoch().count();
     return true;
 }
 
-void noteQuestionOver(ServerCounters &counters, bool answered, TimePoint now)
+void recordHealthCheck(ServerCounters &counters, bool answered, TimePoint now)
 {
     (answered ? counters.aliveAt : counters.unansweredAt) = now.time_since_epoch().count();
 }
 
 bool isUnresponsive(const ServerCounters &counters, TimePoint now)
 {
-    const auto sign = std::max(quietSince(counters), counters.aliveAt.load());
+    const auto sign = std::max(lastActivity(counters), counters.aliveAt.load());
     return isSilent(counters, now) && counters.unansweredAt > sign;
 }
 
--- a/src/entry/attempt.cc
+++ b/src/entry/attempt.cc
@@ -40,7 +40,7 @@
     std::string passed;
     m_heard = m_dispatch->m_state.clock.now();
     if (m_target.counters)
-        noteHeard(*m_target.counters, m_heard);
+        recordReceived(*m_target.counters, m_heard);
     const auto end = m_reader->onData(data, passed);
     notePace();
     if (!end && !passed.empty() && !m_reader->streams() && !m_tooLong) {
--- a/src/entry/control-loads.cc
+++ b/src/entry/control-loads.cc
@@ -183,7 +183,7 @@
     sendTwiceToRegion(std::move(message));
 }
 
-void Control::shareSilence(std::vector<SilenceNews> news)
+void Control::shareSilence(std::vector<SilenceUpdate> news)
 {
     if (news.empty())
         return;
--- a/src/entry/control.cc
+++ b/src/entry/control.cc
@@ -333,7 +333,7 @@
     if (message.probe.sender.region == m_state.settings.region) {
         for (const CompactLoad &load : message.loads)
             m_routingDirty |= m_state.servers.onReport(load, now);
-        for (const SilenceNews &news : message.silences)
+        for (const SilenceUpdate &news : message.silences)
             m_silence.onNews(news);
         for (const RangeNews &news : message.ranges)
             m_source->onNews(news, from);
--- a/src/entry/control.h
+++ b/src/entry/control.h
@@ -82,7 +82,7 @@
     void watchCold();
     void shareCold(const std::optional<ColdNews> &news);
     void watchSilence();
-    void shareSilence(std::vector<SilenceNews> news);
+    void shareSilence(std::vector<SilenceUpdate> news);
     void sendToRegion(const GossipMessage &message);
     void sendTwiceToRegion(GossipMessage message);
     GossipMessage emptyNews();
--- a/src/entry/dispatch.cc
+++ b/src/entry/dispatch.cc
@@ -271,11 +271,11 @@
 {
     if (target.away)
         return;
-    noteHeard(*target.counters, m_state.clock.now());
+    recordReceived(*target.counters, m_state.clock.now());
     m_answerLoad = reader.load();
     if (reader.streams()) {
         noteFirstByte(target);
-        m_streaming = m_streaming || noteStream(*target.counters, m_turn);
+        m_streaming = m_streaming || recordStreamStarted(*target.counters, m_turn);
     }
     if (reader.leaving())
         m_state.servers.onOwnWord(target.name);
@@ -320,7 +320,7 @@
             m_state.retries.onRequest(m_exchange->customer->name, loadName(*m_exchange),
                                       m_exchange->config().limits.retryShare);
         target.counters->probing = target.trial;
-        m_turn = noteSent(*target.counters, m_attemptStarted);
+        m_turn = recordSent(*target.counters, m_attemptStarted);
         ++target.counters->inFlight;
         ++target.counters->sentSinceReport;
         m_awaitingFirst = m_exchange->prompt.tokens > 0;
@@ -344,7 +344,7 @@
     const Duration taken = m_state.clock.now() - m_attemptStarted;
     m_cost += target.cost * std::chrono::duration<double>(taken).count();
     dropPending(target);
-    noteOver(*target.counters, m_turn, std::exchange(m_streaming, false));
+    recordFinished(*target.counters, m_turn, std::exchange(m_streaming, false));
     --target.counters->inFlight;
     ++target.counters->endedSinceReport;
     const bool refused = end == AttemptEnd::refusedNotRun || end == AttemptEnd::refusedForGood;
--- a/src/entry/silence-watch.cc
+++ b/src/entry/silence-watch.cc
@@ -52,9 +52,9 @@
     return now < m_quietUntil;
 }
 
-std::vector<SilenceNews> SilenceWatch::tick()
+std::vector<SilenceUpdate> SilenceWatch::tick()
 {
-    std::vector<SilenceNews> news;
+    std::vector<SilenceUpdate> news;
     const TimePoint now = m_state.clock.now();
     const auto table = m_state.routing.read();
     if (stoodStill(now) || !table)
@@ -62,7 +62,7 @@
     forgetOver(*table, news);
     const bool hears
         = std::any_of(table->servers.begin(), table->servers.end(), [&](const ServerView &view) {
-              return heardWithin(*view.counters, othersHeard, now);
+              return receivedWithin(*view.counters, othersHeard, now);
           });
     if (!hears)
         return news;
@@ -103,12 +103,12 @@
 // Taken back without a word that it sent to a request of this instance.
 void SilenceWatch::trust(const ServerView &view, std::string_view source)
 {
-    noteGivenBack(*view.counters, m_state.clock.now());
+    recordRecovered(*view.counters, m_state.clock.now());
     giveBack(view.server.name, source);
 }
 
 // Servers that have left the table, and those of which an answer came after all.
-void SilenceWatch::forgetOver(const RoutingTable &table, std::vector<SilenceNews> &news)
+void SilenceWatch::forgetOver(const RoutingTable &table, std::vector<SilenceUpdate> &news)
 {
     std::vector<std::string> heard;
     std::erase_if(m_silent, [&](const auto &entry) {
@@ -125,7 +125,7 @@
     }
 }
 
-void SilenceWatch::onNews(const SilenceNews &news)
+void SilenceWatch::onNews(const SilenceUpdate &news)
 {
     const TimePoint now = m_state.clock.now();
     const auto table = m_state.routing.read();
@@ -138,7 +138,7 @@
         if (!news.silent && known)
             return trust(view, "peer");
         // Own evidence goes first: the server may be cut off from the other instance alone.
-        if (news.silent && !known && !heardWithin(*view.counters, othersHeard, now))
+        if (news.silent && !known && !receivedWithin(*view.counters, othersHeard, now))
             take(view, "peer");
         return;
     }
@@ -152,7 +152,7 @@
     if (!table || now < m_quietUntil)
         return due;
     for (const ServerView &view : table->servers) {
-        if (takeQuestion(*view.counters, now))
+        if (tryAcquireHealthCheck(*view.counters, now))
             due.push_back(view);
     }
     return due;
@@ -161,7 +161,7 @@
 void SilenceWatch::onQuestionOver(const ServerView &view, const WholeAnswer &answer)
 {
     const bool answered = answer.result.end == TransferEnd::complete;
-    noteQuestionOver(*view.counters, answered, m_state.clock.now());
+    recordHealthCheck(*view.counters, answered, m_state.clock.now());
     if (answered)
         return;
     logLine(LogPart::load, LogLevel::info, "Backend server did not answer.",
@@ -187,7 +187,8 @@
     return due;
 }
 
-std::vector<SilenceNews> SilenceWatch::onChecked(const ServerView &view, const WholeAnswer &answer)
+std::vector<SilenceUpdate> SilenceWatch::onChecked(const ServerView &view,
+                                                   const WholeAnswer &answer)
 {
     constexpr int statusOk = 200;
     const std::string &name = view.server.name;
--- a/src/entry/silence-watch.h
+++ b/src/entry/silence-watch.h
@@ -19,9 +19,9 @@
     SilenceWatch(EntryState &state, const Protocol &protocol);
 
     // Several times a second. Returns what the region's other instances have to hear.
-    std::vector<SilenceNews> tick();
+    std::vector<SilenceUpdate> tick();
     // From another instance of the region.
-    void onNews(const SilenceNews &news);
+    void onNews(const SilenceUpdate &news);
 
     // Silent servers to ask now whether they live, before what runs there is ended.
     std::vector<ServerView> dueForQuestion();
@@ -31,7 +31,7 @@
     // Servers to ask whether they live again, now. The caller says which are its to ask.
     std::vector<ServerView> dueForCheck();
     // The answer to a health check of such a server.
-    std::vector<SilenceNews> onChecked(const ServerView &view, const WholeAnswer &answer);
+    std::vector<SilenceUpdate> onChecked(const ServerView &view, const WholeAnswer &answer);
 
 private:
     struct Silent
@@ -44,7 +44,7 @@
     void take(const ServerView &view, std::string_view source);
     void trust(const ServerView &view, std::string_view source);
     void giveBack(const std::string &name, std::string_view source);
-    void forgetOver(const RoutingTable &table, std::vector<SilenceNews> &news);
+    void forgetOver(const RoutingTable &table, std::vector<SilenceUpdate> &news);
 
     EntryState &m_state;
     const Protocol &m_protocol;
--- a/src/net/http-client.cc
+++ b/src/net/http-client.cc
@@ -20,7 +20,7 @@
 
 constexpr std::size_t maxCollectedBytes = 4U << 20;
 constexpr auto congestionCheck = std::chrono::milliseconds(20);
-constexpr auto askAgainAfter = std::chrono::milliseconds(100);
+constexpr auto healthCheckInterval = std::chrono::milliseconds(100);
 constexpr long maxIdleConnections = 256;
 // Events of a stream are some hundred bytes, and each transfer under way keeps a buffer of its own.
 constexpr long receiveBufferBytes = 4096;
@@ -375,7 +375,7 @@
         const Duration total = transfer->request.limits.total;
         const bool over = total.count() > 0 && now >= transfer->started + total;
         if (nextLimit(*transfer) <= now && !over && transfer->sink->waitsOn())
-            transfer->waitsUntil = now + askAgainAfter;
+            transfer->waitsUntil = now + healthCheckInterval;
         if (nextLimit(*transfer) <= now) {
             transfer->timedOut = true;
             finish(transfer->easy, CURLE_OPERATION_TIMEDOUT);
--- a/test/silence-test.cc
+++ b/test/silence-test.cc
@@ -12,13 +12,13 @@
     ServerCounters counters;
     TimePoint now{100s};
 
-    std::uint32_t send() { return noteSent(counters, now); }
+    std::uint32_t send() { return recordSent(counters, now); }
 
     std::uint32_t beginStream()
     {
         const std::uint32_t turn = send();
-        noteHeard(counters, now);
-        noteStream(counters, turn);
+        recordReceived(counters, now);
+        recordStreamStarted(counters, turn);
         return turn;
     }
 };
@@ -27,7 +27,7 @@
 
 TEST_CASE_METHOD(SilenceFixture, "silence_nothingUnderWay_isNotSilent")
 {
-    noteOver(counters, beginStream(), true);
+    recordFinished(counters, beginStream(), true);
     CHECK_FALSE(isSilent(counters, now + 10s));
 }
 
@@ -41,7 +41,7 @@
     beginStream();
     CHECK_FALSE(isSilent(counters, now + 500ms));
     CHECK(isSilent(counters, now + 600ms));
-    noteHeard(counters, now + 650ms);
+    recordReceived(counters, now + 650ms);
     CHECK_FALSE(isSilent(counters, now + 700ms));
 }
 
@@ -59,20 +59,20 @@
 TEST_CASE_METHOD(SilenceFixture, "silence_serverAnswersWhenAsked_isNotUnresponsive")
 {
     beginStream();
-    CHECK_FALSE(takeQuestion(counters, now + 500ms));
-    CHECK(takeQuestion(counters, now + 600ms));
-    CHECK_FALSE(takeQuestion(counters, now + 700ms));
-    noteQuestionOver(counters, true, now + 610ms);
+    CHECK_FALSE(tryAcquireHealthCheck(counters, now + 500ms));
+    CHECK(tryAcquireHealthCheck(counters, now + 600ms));
+    CHECK_FALSE(tryAcquireHealthCheck(counters, now + 700ms));
+    recordHealthCheck(counters, true, now + 610ms);
     CHECK_FALSE(isUnresponsive(counters, now + 900ms));
-    CHECK(takeQuestion(counters, now + 910ms));
+    CHECK(tryAcquireHealthCheck(counters, now + 910ms));
 }
 
 TEST_CASE_METHOD(SilenceFixture, "silence_serverDoesNotAnswerWhenAsked_isUnresponsive")
 {
     beginStream();
-    CHECK(takeQuestion(counters, now + 600ms));
+    CHECK(tryAcquireHealthCheck(counters, now + 600ms));
     CHECK_FALSE(isUnresponsive(counters, now + 800ms));
-    noteQuestionOver(counters, false, now + 900ms);
+    recordHealthCheck(counters, false, now + 900ms);
     CHECK(isUnresponsive(counters, now + 900ms));
 }
 
@@ -80,13 +80,13 @@
 TEST_CASE_METHOD(SilenceFixture, "silence_heardSinceTheQuestion_isNotUnresponsiveUntilAskedAgain")
 {
     beginStream();
-    CHECK(takeQuestion(counters, now + 600ms));
-    noteQuestionOver(counters, false, now + 630ms);
-    noteHeard(counters, now + 650ms);
+    CHECK(tryAcquireHealthCheck(counters, now + 600ms));
+    recordHealthCheck(counters, false, now + 630ms);
+    recordReceived(counters, now + 650ms);
     CHECK(isSilent(counters, now + 1300ms));
     CHECK_FALSE(isUnresponsive(counters, now + 1300ms));
-    CHECK(takeQuestion(counters, now + 1300ms));
-    noteQuestionOver(counters, false, now + 1400ms);
+    CHECK(tryAcquireHealthCheck(counters, now + 1300ms));
+    recordHealthCheck(counters, false, now + 1400ms);
     CHECK(isUnresponsive(counters, now + 1400ms));
 }
 
@@ -108,7 +108,7 @@
 
 TEST_CASE_METHOD(SilenceFixture, "silence_sentAfterALongRest_countsFromTheSend")
 {
-    noteOver(counters, beginStream(), true);
+    recordFinished(counters, beginStream(), true);
     now += 20s;
     send();
     CHECK_FALSE(isSilent(counters, now + 900ms));
@@ -123,10 +123,10 @@
     const std::uint32_t hung = beginStream();
     CHECK(isSilent(counters, now + 600ms));
     now += 1s;
-    noteGivenBack(counters, now);
+    recordRecovered(counters, now);
     CHECK_FALSE(isSilent(counters, now + 10s));
     beginStream();
-    noteOver(counters, hung, true);
+    recordFinished(counters, hung, true);
     CHECK_FALSE(isSilent(counters, now + 500ms));
     CHECK(isSilent(counters, now + 600ms));
 }
@@ -138,12 +138,12 @@
 {
     beginStream();
     now += 1s;
-    noteGivenBack(counters, now);
+    recordRecovered(counters, now);
     send();
     counters.awaitingFirst = 1;
     CHECK_FALSE(isSilent(counters, now + 900ms));
     CHECK(isSilent(counters, now + 1s));
-    noteHeard(counters, now + 1s);
+    recordReceived(counters, now + 1s);
     CHECK_FALSE(isSilent(counters, now + 3s));
 }
 
--- a/test/warmup-test.cc
+++ b/test/warmup-test.cc
@@ -80,7 +80,7 @@
                 if (!sends)
                     continue;
                 unaware[i] += now < known ? 1 : 0;
-                noteSent(counters[i], now);
+                recordSent(counters[i], now);
                 sent.push_back(now);
             }
             RC_ASSERT(static_cast<double>(sent.size()) <= rate * bound.factor + bound.slack);
