--- a/include/ibisnotch/admission.h
+++ b/include/ibisnotch/admission.h
@@ -26,7 +26,8 @@
     Duration way{}; // to the region and back
     Duration remaining{}; // until the caller's deadline
     double firstDelay = 0; // seconds before a prompt sent now is read; 0: no prompt
-    double eventSeconds = 0; // between two events of a stream where it would run; 0: not known
+    double eventIntervalSeconds
+        = 0; // between two events of a stream where it would run; 0: not known
     double bearableSeconds = 0; // the same, at which streams still end in time; 0: not known
     int lessUrgent = 0; // services that give way first while streams are too slow
     // Between 0 and 1, drawn once for a request: the lowest are turned away first, wherever it is
--- a/include/ibisnotch/pick.h
+++ b/include/ibisnotch/pick.h
@@ -22,7 +22,7 @@
     // Model engines only:
     double delay = 0; // seconds before a prompt sent now is read
     double tokensPerMs = 0; // at which it reads; 0: not known
-    double eventSeconds = 0; // between two events of a stream; 0: not known
+    double eventIntervalSeconds = 0; // between two events of a stream; 0: not known
 };
 
 // The servers that may run a request for a service, without those tried already. A pool, if named,
--- a/include/ibisnotch/read-delay.h
+++ b/include/ibisnotch/read-delay.h
@@ -39,7 +39,7 @@
 };
 
 // The wait that a prompt sent now would meet, at so many milliseconds for each request ahead.
-Duration readDelay(const ServerView &view, double msPerWaiting);
+Duration readDelay(const ServerView &view, double msPerWaitingRequest);
 
 // The time in which this many tokens are read; none while the rate is not known (0).
 Duration readTime(double tokensPerMs, std::int64_t tokens);
--- a/include/ibisnotch/region-choice.h
+++ b/include/ibisnotch/region-choice.h
@@ -24,11 +24,11 @@
     double outstanding = 0;
     std::uint32_t ageMs = 0; // when sent, or when looked up
     double delay = 0; // seconds before a prompt sent now is read, on average
-    double eventSeconds = 0; // between two events of a stream, on average; 0: not known
+    double eventIntervalSeconds = 0; // between two events of a stream, on average; 0: not known
 
     template <typename Archive> void serialize(Archive &archive)
     {
-        archive(region, service, slots, outstanding, ageMs, delay, eventSeconds);
+        archive(region, service, slots, outstanding, ageMs, delay, eventIntervalSeconds);
     }
     bool operator==(const RegionLoad &) const = default;
 };
--- a/include/ibisnotch/server-table.h
+++ b/include/ibisnotch/server-table.h
@@ -57,33 +57,35 @@
     std::atomic<int> inFlight = 0; // sent by this instance and not yet over
     std::atomic<int> sentSinceReport = 0;
     std::atomic<int> endedSinceReport = 0;
-    std::atomic<Duration::rep> sentAt = 0; // the last request to the server
+    std::atomic<Duration::rep> lastSentAt = 0; // the last request to the server
     // While it may have turned cold unnoticed (warmup.h): requests sent, how many of them were sent
     // before the last look that found it warm, and when that look was answered.
-    std::atomic<std::uint32_t> unsureSent = 0;
-    std::atomic<std::uint32_t> unsureChecked = 0;
-    std::atomic<Duration::rep> foundWarmAt = 0;
+    std::atomic<std::uint32_t> possiblyColdSent = 0;
+    std::atomic<std::uint32_t> possiblyColdVerified = 0;
+    std::atomic<Duration::rep> confirmedWarmAt = 0;
     // Of prompts sent whose first token is not there yet, and what first tokens have shown.
-    std::atomic<int> awaitingFirst = 0;
+    std::atomic<int> awaitingFirstToken = 0;
     std::atomic<double> tokensPerMs = 0; // the engine's reading rate; 0: not known
-    std::atomic<double> msPerWaiting
+    std::atomic<double> msPerWaitingRequest
         = 0; // smoothed, for each request ahead of a prompt; 0: not known
     // Of streams (stream-pace.h).
-    std::atomic<double> eventSeconds = 0; // smoothed, between two events; 0: not known
-    std::atomic<Duration::rep> eventAt = 0;
+    std::atomic<double> eventIntervalSeconds = 0; // smoothed, between two events; 0: not known
+    std::atomic<Duration::rep> lastEventAt = 0;
     // For telling a silent server (silence.h): streams that have begun, the last byte from it, and
     // when this instance began to wait for one.
-    std::atomic<int> awaited = 0; // requests under way that count
-    std::atomic<int> streaming = 0; // of those, the ones whose stream has begun
-    std::atomic<std::uint32_t> turn = 0; // rises each time the server is taken for sound again
-    std::atomic<Duration::rep> givenBackAt = 0; // when it last rose
-    std::atomic<Duration::rep> heardAt = 0;
-    std::atomic<Duration::rep> answeredAt = 0; // to any instance of the region, as far as is known
+    std::atomic<int> awaitedRequests = 0; // requests under way that count
+    std::atomic<int> awaitedStreams = 0; // of those, the ones whose stream has begun
+    std::atomic<std::uint32_t> recoveryEpoch
+        = 0; // rises each time the server is taken for sound again
+    std::atomic<Duration::rep> recoveredAt = 0; // when it last rose
+    std::atomic<Duration::rep> lastReceivedAt = 0;
+    std::atomic<Duration::rep> lastAnsweredAt
+        = 0; // to any instance of the region, as far as is known
     std::atomic<Duration::rep> waitingSince = 0;
-    std::atomic<Duration::rep> askedAt = 0; // whether it lives, by this instance
-    std::atomic<Duration::rep> aliveAt = 0; // when such a question was last answered
-    std::atomic<Duration::rep> unansweredAt = 0; // when one last got no answer
-    std::atomic<bool> probing = false; // the one request that tries an ejected server again
+    std::atomic<Duration::rep> healthCheckSentAt = 0; // whether it lives, by this instance
+    std::atomic<Duration::rep> healthCheckPassedAt = 0; // when such a question was last answered
+    std::atomic<Duration::rep> healthCheckFailedAt = 0; // when one last got no answer
+    std::atomic<bool> trialInProgress = false; // the one request that tries an ejected server again
 };
 
 // An entry of the platform's list of instances. The list lags, so it may still name a server that
@@ -123,10 +125,10 @@
 struct ListState
 {
     std::uint64_t revision = 0; // up to which all changes are known
-    TimePoint heardAt{}; // when that was last confirmed
+    TimePoint confirmedAt{}; // when that was last confirmed
     // After that long without news, it may miss what changed. A watch of the store ends after four
     // seconds, also when nothing has changed.
-    Duration life = std::chrono::seconds(5);
+    Duration maxAge = std::chrono::seconds(5);
     bool operator==(const ListState &) const = default;
 };
 
--- a/include/ibisnotch/silence.h
+++ b/include/ibisnotch/silence.h
@@ -12,10 +12,10 @@
 std::uint32_t recordSent(ServerCounters &counters, TimePoint now);
 
 // A request's stream has begun. True if it counts, which recordFinished is to be told.
-bool recordStreamStarted(ServerCounters &counters, std::uint32_t turn);
+bool recordStreamStarted(ServerCounters &counters, std::uint32_t recoveryEpoch);
 
 // A request is over.
-void recordFinished(ServerCounters &counters, std::uint32_t turn, bool streamCounted);
+void recordFinished(ServerCounters &counters, std::uint32_t recoveryEpoch, bool streamCounted);
 
 // The server is taken for sound again. What was sent before may hang for good, whatever the server
 // does now: streams that a server had lost with its power made it silent again at once after each
--- a/include/ibisnotch/stream-pace.h
+++ b/include/ibisnotch/stream-pace.h
@@ -19,7 +19,7 @@
 void noteEvents(ServerCounters &counters, int events, Duration taken, TimePoint now);
 
 // Seconds between two events of a stream there, smoothed; 0 where none came lately.
-double eventSeconds(const ServerCounters &counters, TimePoint now);
+double eventIntervalSeconds(const ServerCounters &counters, TimePoint now);
 
 // What an instance has seen of the answers of each pool's services. Thread safe.
 class StreamHabits
--- a/include/ibisnotch/warmup.h
+++ b/include/ibisnotch/warmup.h
@@ -55,13 +55,13 @@
 // Whether the server has to be looked at before it may get more.
 bool needsLook(const ServerCounters &counters, TimePoint unsureSince);
 
-// A look was answered by a warm server; `sentBefore` is unsureSent when it was sent.
+// A look was answered by a warm server; `sentBefore` is possiblyColdSent when it was sent.
 void noteWarm(ServerCounters &counters, std::uint32_t sentBefore, TimePoint now);
 
 // A server that may have turned cold, as one instance sees it.
 struct UnsureServer
 {
-    TimePoint sentAt{}; // this instance's last request to it
+    TimePoint lastSentAt{}; // this instance's last request to it
     bool falls = false; // a share of what it bears falls to this instance
     bool ready = false; // it may get a request now
     bool operator==(const UnsureServer &) const = default;
--- a/src/decide/admission.cc
+++ b/src/decide/admission.cc
@@ -51,7 +51,7 @@
     constexpr double perService = 0.5;
     if (question.bearableSeconds <= 0)
         return 0;
-    const double pressure = question.eventSeconds / question.bearableSeconds;
+    const double pressure = question.eventIntervalSeconds / question.bearableSeconds;
     const double from = begins + perService * question.lessUrgent;
     return std::clamp((pressure - from) / (whole - begins), 0.0, mostTurnedAway);
 }
--- a/src/decide/pick.cc
+++ b/src/decide/pick.cc
@@ -52,7 +52,7 @@
                                   static_cast<double>(view.server.slots)};
         if (view.status == ServerStatus::usable)
             usable.push_back(candidate);
-        else if (view.status == ServerStatus::trial && !view.counters->probing)
+        else if (view.status == ServerStatus::trial && !view.counters->trialInProgress)
             trials.push_back(candidate);
     }
     // An ejected server gets one request to show that it is back. It goes in among the others
@@ -85,7 +85,7 @@
     double sum = 0;
     int known = 0;
     for (const Candidate &candidate : candidates) {
-        const double pace = candidate.view->counters->msPerWaiting;
+        const double pace = candidate.view->counters->msPerWaitingRequest;
         sum += pace;
         known += pace > 0 ? 1 : 0;
     }
@@ -110,11 +110,11 @@
     const double usual = known > 0 ? known : prompt;
     for (Candidate &candidate : candidates) {
         const ServerCounters &counters = *candidate.view->counters;
-        const double own = counters.msPerWaiting;
+        const double own = counters.msPerWaitingRequest;
         const Duration delay = readDelay(*candidate.view, own > 0 ? own : usual);
         candidate.delay = std::chrono::duration<double>(delay).count();
         candidate.tokensPerMs = rate;
-        candidate.eventSeconds = eventSeconds(counters, now);
+        candidate.eventIntervalSeconds = eventIntervalSeconds(counters, now);
     }
 }
 
--- a/src/decide/read-delay.cc
+++ b/src/decide/read-delay.cc
@@ -43,8 +43,9 @@
     const double each = std::min(std::max(0.0, ms - read) / first.waiting, mostMsPerWaiting);
     // The first sample of an instance that sees few says little: it is weighed against a prompt
     // like this one for each that waits.
-    const double known = counters.msPerWaiting > 0 ? counters.msPerWaiting.load() : read;
-    counters.msPerWaiting = paceKept * known + (1 - paceKept) * each;
+    const double known
+        = counters.msPerWaitingRequest > 0 ? counters.msPerWaitingRequest.load() : read;
+    counters.msPerWaitingRequest = paceKept * known + (1 - paceKept) * each;
 }
 
 void PromptLengths::onPrompt(const std::string &pool, std::int64_t tokens)
@@ -63,11 +64,12 @@
     return found == m_means.end() ? 0 : found->second;
 }
 
-Duration readDelay(const ServerView &view, double msPerWaiting)
+Duration readDelay(const ServerView &view, double msPerWaitingRequest)
 {
     const ServerCounters &counters = *view.counters;
-    const int sentSince = std::min(counters.sentSinceReport.load(), counters.awaitingFirst.load());
-    return fromMilliseconds((view.waiting + std::max(0, sentSince)) * msPerWaiting);
+    const int sentSince
+        = std::min(counters.sentSinceReport.load(), counters.awaitingFirstToken.load());
+    return fromMilliseconds((view.waiting + std::max(0, sentSince)) * msPerWaitingRequest);
 }
 
 Duration readTime(double tokensPerMs, std::int64_t tokens)
--- a/src/decide/region-choice.cc
+++ b/src/decide/region-choice.cc
@@ -62,10 +62,10 @@
         load.slots += candidate.slots;
         load.outstanding += candidate.load;
         load.delay += candidate.delay / static_cast<double>(candidates.size());
-        load.eventSeconds += candidate.eventSeconds;
-        paced += candidate.eventSeconds > 0 ? 1 : 0;
+        load.eventIntervalSeconds += candidate.eventIntervalSeconds;
+        paced += candidate.eventIntervalSeconds > 0 ? 1 : 0;
     }
-    load.eventSeconds /= std::max(1, paced);
+    load.eventIntervalSeconds /= std::max(1, paced);
     return load;
 }
 
--- a/src/decide/server-table.cc
+++ b/src/decide/server-table.cc
@@ -244,7 +244,7 @@
     record.everReported = true;
     record.firstHand = false;
     if (report.reachable) {
-        record.counters->answeredAt = at.time_since_epoch().count();
+        record.counters->lastAnsweredAt = at.time_since_epoch().count();
         learnTraffic(report.running + report.waiting, record.counters->inFlight);
         record.counters->sentSinceReport = 0;
         record.counters->endedSinceReport = 0;
@@ -281,7 +281,7 @@
     if (found == m_records.end())
         return;
     Record &record = found->second;
-    record.counters->probing = false;
+    record.counters->trialInProgress = false;
     if (health == AttemptHealth::good) {
         record.needsTrial = false;
         record.failures = 0;
--- a/src/decide/silence.cc
+++ b/src/decide/silence.cc
@@ -18,7 +18,7 @@
 
 Duration maxStreamPause(const ServerCounters &counters)
 {
-    const std::chrono::duration<double> pauses(maxUsualIntervals * counters.eventSeconds);
+    const std::chrono::duration<double> pauses(maxUsualIntervals * counters.eventIntervalSeconds);
     return std::max(minSilence, std::chrono::duration_cast<Duration>(pauses));
 }
 
@@ -26,89 +26,90 @@
 // large region has no more there. What the server answered to others tells.
 Duration::rep lastActivity(const ServerCounters &counters)
 {
-    return std::max(
-        {counters.heardAt.load(), counters.waitingSince.load(), counters.answeredAt.load()});
+    return std::max({counters.lastReceivedAt.load(), counters.waitingSince.load(),
+                     counters.lastAnsweredAt.load()});
 }
 
 } // namespace
 
 std::uint32_t recordSent(ServerCounters &counters, TimePoint now)
 {
-    counters.sentAt = now.time_since_epoch().count();
-    if (counters.awaited++ <= 0)
+    counters.lastSentAt = now.time_since_epoch().count();
+    if (counters.awaitedRequests++ <= 0)
         counters.waitingSince = now.time_since_epoch().count();
-    return counters.turn;
+    return counters.recoveryEpoch;
 }
 
-bool recordStreamStarted(ServerCounters &counters, std::uint32_t turn)
+bool recordStreamStarted(ServerCounters &counters, std::uint32_t recoveryEpoch)
 {
-    const bool counts = counters.turn == turn;
-    counters.streaming += counts ? 1 : 0;
+    const bool counts = counters.recoveryEpoch == recoveryEpoch;
+    counters.awaitedStreams += counts ? 1 : 0;
     return counts;
 }
 
 // A turn that rises in between leaves a count one too low until the next turn: one request less is
 // heeded, none is taken for one that hangs.
-void recordFinished(ServerCounters &counters, std::uint32_t turn, bool streamCounted)
+void recordFinished(ServerCounters &counters, std::uint32_t recoveryEpoch, bool streamCounted)
 {
-    if (counters.turn != turn)
+    if (counters.recoveryEpoch != recoveryEpoch)
         return;
-    --counters.awaited;
-    counters.streaming -= streamCounted ? 1 : 0;
+    --counters.awaitedRequests;
+    counters.awaitedStreams -= streamCounted ? 1 : 0;
 }
 
 void recordRecovered(ServerCounters &counters, TimePoint now)
 {
-    ++counters.turn;
-    counters.awaited = 0;
-    counters.streaming = 0;
-    counters.givenBackAt = now.time_since_epoch().count();
+    ++counters.recoveryEpoch;
+    counters.awaitedRequests = 0;
+    counters.awaitedStreams = 0;
+    counters.recoveredAt = now.time_since_epoch().count();
 }
 
 void recordReceived(ServerCounters &counters, TimePoint now)
 {
-    counters.heardAt = now.time_since_epoch().count();
+    counters.lastReceivedAt = now.time_since_epoch().count();
 }
 
 bool receivedWithin(const ServerCounters &counters, Duration span, TimePoint now)
 {
-    return now.time_since_epoch() - Duration(counters.heardAt.load()) < span;
+    return now.time_since_epoch() - Duration(counters.lastReceivedAt.load()) < span;
 }
 
 bool isSilent(const ServerCounters &counters, TimePoint now)
 {
-    if (counters.awaited <= 0)
+    if (counters.awaitedRequests <= 0)
         return false;
     // First tokens say nothing: at a full engine they take seconds, and taking 1 s for silence had
     // instances drop sound engines. Of an engine that is just back in use and has sent nothing yet,
     // they do: it is not full, and the check that brought it back may have lied.
-    const bool receivedSinceRecovery = counters.heardAt >= counters.givenBackAt;
-    const bool firstTokensOnly = counters.streaming <= 0 && counters.awaitingFirst > 0;
+    const bool receivedSinceRecovery = counters.lastReceivedAt >= counters.recoveredAt;
+    const bool firstTokensOnly = counters.awaitedStreams <= 0 && counters.awaitingFirstToken > 0;
     if (firstTokensOnly && receivedSinceRecovery)
         return false;
     const Duration since(lastActivity(counters));
-    const Duration allowed = counters.streaming > 0 ? maxStreamPause(counters) : maxAnswerWait;
+    const Duration allowed = counters.awaitedStreams > 0 ? maxStreamPause(counters) : maxAnswerWait;
     return now.time_since_epoch() - since >= allowed;
 }
 
 bool tryAcquireHealthCheck(ServerCounters &counters, TimePoint now)
 {
-    const TimePoint asked{Duration(counters.askedAt.load())};
+    const TimePoint asked{Duration(counters.healthCheckSentAt.load())};
     if (!isSilent(counters, now) || now - asked < healthCheckInterval)
         return false;
-    counters.askedAt = now.time_since_epoch().count();
+    counters.healthCheckSentAt = now.time_since_epoch().count();
     return true;
 }
 
 void recordHealthCheck(ServerCounters &counters, bool answered, TimePoint now)
 {
-    (answered ? counters.aliveAt : counters.unansweredAt) = now.time_since_epoch().count();
+    (answered ? counters.healthCheckPassedAt : counters.healthCheckFailedAt)
+        = now.time_since_epoch().count();
 }
 
 bool isUnresponsive(const ServerCounters &counters, TimePoint now)
 {
-    const auto sign = std::max(lastActivity(counters), counters.aliveAt.load());
-    return isSilent(counters, now) && counters.unansweredAt > sign;
+    const auto sign = std::max(lastActivity(counters), counters.healthCheckPassedAt.load());
+    return isSilent(counters, now) && counters.healthCheckFailedAt > sign;
 }
 
 } // namespace ibisnotch
--- a/src/decide/stream-pace.cc
+++ b/src/decide/stream-pace.cc
@@ -37,15 +37,15 @@
     if (events <= 0)
         return;
     const double each = seconds(taken) / events;
-    const double known = eventSeconds(counters, now);
-    counters.eventSeconds = known > 0 ? paceKept * known + (1 - paceKept) * each : each;
-    counters.eventAt = now.time_since_epoch().count();
+    const double known = eventIntervalSeconds(counters, now);
+    counters.eventIntervalSeconds = known > 0 ? paceKept * known + (1 - paceKept) * each : each;
+    counters.lastEventAt = now.time_since_epoch().count();
 }
 
-double eventSeconds(const ServerCounters &counters, TimePoint now)
+double eventIntervalSeconds(const ServerCounters &counters, TimePoint now)
 {
-    const bool fresh = now.time_since_epoch() - Duration(counters.eventAt.load()) < paceLife;
-    return fresh ? counters.eventSeconds.load() : 0;
+    const bool fresh = now.time_since_epoch() - Duration(counters.lastEventAt.load()) < paceLife;
+    return fresh ? counters.eventIntervalSeconds.load() : 0;
 }
 
 void StreamHabits::onEnded(const Service &service, int priority, const std::string &pool,
--- a/src/decide/warmup.cc
+++ b/src/decide/warmup.cc
@@ -40,8 +40,8 @@
 {
     if (last == 0)
         return true;
-    const TimePoint sentAt{Duration(last)};
-    return now - sentAt >= (sentAt < coldSince ? std::max(pause, window) : pause);
+    const TimePoint lastSentAt{Duration(last)};
+    return now - lastSentAt >= (lastSentAt < coldSince ? std::max(pause, window) : pause);
 }
 
 } // namespace
@@ -58,14 +58,14 @@
 
 bool mayWarm(const ServerCounters &counters, Duration pause, TimePoint coldSince, TimePoint now)
 {
-    return mayFollow(counters.sentAt, pause, coldSince, now);
+    return mayFollow(counters.lastSentAt, pause, coldSince, now);
 }
 
 std::optional<TimePoint> unsureSince(const ListState &list, const ServerView &view, TimePoint now)
 {
     std::optional<TimePoint> since;
-    if (list.heardAt != TimePoint{} && now - list.heardAt > list.life)
-        since = list.heardAt + list.life;
+    if (list.confirmedAt != TimePoint{} && now - list.confirmedAt > list.maxAge)
+        since = list.confirmedAt + list.maxAge;
     if (view.missingSince != TimePoint{})
         since = since ? std::min(*since, view.missingSince) : view.missingSince;
     return since;
@@ -83,30 +83,30 @@
 
 bool mayRisk(const ServerCounters &counters, std::size_t share, TimePoint unsureSince)
 {
-    const bool found = TimePoint(Duration(counters.foundWarmAt.load())) > unsureSince;
-    return found && counters.unsureSent - counters.unsureChecked < share;
+    const bool found = TimePoint(Duration(counters.confirmedWarmAt.load())) > unsureSince;
+    return found && counters.possiblyColdSent - counters.possiblyColdVerified < share;
 }
 
 bool takeRisk(ServerCounters &counters, std::size_t share, TimePoint unsureSince)
 {
-    std::uint32_t sent = counters.unsureSent;
+    std::uint32_t sent = counters.possiblyColdSent;
     do {
         if (!mayRisk(counters, share, unsureSince))
             return false;
-    } while (!counters.unsureSent.compare_exchange_weak(sent, sent + 1));
+    } while (!counters.possiblyColdSent.compare_exchange_weak(sent, sent + 1));
     return true;
 }
 
 bool needsLook(const ServerCounters &counters, TimePoint unsureSince)
 {
-    const bool found = TimePoint(Duration(counters.foundWarmAt.load())) > unsureSince;
-    return !found || counters.unsureSent != counters.unsureChecked;
+    const bool found = TimePoint(Duration(counters.confirmedWarmAt.load())) > unsureSince;
+    return !found || counters.possiblyColdSent != counters.possiblyColdVerified;
 }
 
 void noteWarm(ServerCounters &counters, std::uint32_t sentBefore, TimePoint now)
 {
-    counters.unsureChecked = sentBefore;
-    counters.foundWarmAt = now.time_since_epoch().count();
+    counters.possiblyColdVerified = sentBefore;
+    counters.confirmedWarmAt = now.time_since_epoch().count();
 }
 
 UnsureAnswer chooseWhileUnsure(std::span<const UnsureServer> servers)
@@ -116,7 +116,7 @@
     for (std::size_t i = 0; i < servers.size(); ++i) {
         if (servers[i].ready)
             answer.ready.push_back(i);
-        if (servers[i].sentAt < servers[longestRested].sentAt)
+        if (servers[i].lastSentAt < servers[longestRested].lastSentAt)
             longestRested = i;
     }
     if (!answer.ready.empty() || servers.empty())
@@ -130,12 +130,12 @@
 
 bool takeWarmup(ServerCounters &counters, Duration pause, TimePoint coldSince, TimePoint now)
 {
-    Duration::rep last = counters.sentAt;
+    Duration::rep last = counters.lastSentAt;
     const Duration::rep at = now.time_since_epoch().count();
     do {
         if (!mayFollow(last, pause, coldSince, now))
             return false;
-    } while (!counters.sentAt.compare_exchange_weak(last, at));
+    } while (!counters.lastSentAt.compare_exchange_weak(last, at));
     return true;
 }
 
--- a/src/entry/cold-watch.cc
+++ b/src/entry/cold-watch.cc
@@ -36,7 +36,7 @@
         if (now < next || !(wants || watches(view)))
             continue;
         next = now + givenUpAfter;
-        due.push_back({view, view.counters->unsureSent});
+        due.push_back({view, view.counters->possiblyColdSent});
     }
     m_nextCheck = std::move(nextCheck);
     return due;
--- a/src/entry/cold-watch.h
+++ b/src/entry/cold-watch.h
@@ -18,7 +18,7 @@
 struct ColdCheck
 {
     ServerView view;
-    std::uint32_t sentBefore = 0; // unsureSent when it was sent
+    std::uint32_t sentBefore = 0; // possiblyColdSent when it was sent
 };
 
 // On the control loop only.
--- a/src/entry/control-loads.cc
+++ b/src/entry/control-loads.cc
@@ -148,7 +148,7 @@
     for (const ServerView &view : m_silence.dueForCheck()) {
         if (!amongFirst(view.server.name, checkersPerServer))
             continue;
-        const ColdCheck check{view, view.counters->unsureSent};
+        const ColdCheck check{view, view.counters->possiblyColdSent};
         sendWhole(m_client, shortHealthCheck(m_state, m_protocol, view.server),
                   [this, check](const WholeAnswer &answer) {
                       m_link.post([this, check, answer] {
--- a/src/entry/dispatch-end.cc
+++ b/src/entry/dispatch-end.cc
@@ -153,7 +153,8 @@
     if (const auto &away = m_inputs.away)
         text += fmt::format(";{}:{:.0f}/{:.0f}+{:.0f},age:{}", away->region, away->outstanding,
                             away->slots, away->delay * toMs, away->ageMs);
-    const double seen = m_inputs.away ? m_inputs.away->eventSeconds : home.eventSeconds;
+    const double seen
+        = m_inputs.away ? m_inputs.away->eventIntervalSeconds : home.eventIntervalSeconds;
     if (seen > 0 && m_inputs.bearableSeconds > 0)
         text += fmt::format(";pace:{:.0f}/{:.0f}", seen * toMs, m_inputs.bearableSeconds * toMs);
     if (m_inputs.serverSlots > 0)
--- a/src/entry/dispatch-plan.cc
+++ b/src/entry/dispatch-plan.cc
@@ -80,12 +80,12 @@
 UnsureServer Dispatch::unsureServer(const RoutingTable &table, const ServerView &view) const
 {
     const ServerCounters &counters = *view.counters;
-    const TimePoint sentAt{Duration(counters.sentAt.load())};
+    const TimePoint lastSentAt{Duration(counters.lastSentAt.load())};
     const auto since = unsureSince(table.list, view, m_state.clock.now());
     const auto share = since ? unsureShare(table, view) : std::nullopt;
     if (!share)
-        return {sentAt, true, true};
-    return {sentAt, *share > 0, mayRisk(counters, *share, *since)};
+        return {lastSentAt, true, true};
+    return {lastSentAt, *share > 0, mayRisk(counters, *share, *since)};
 }
 
 // While nobody tells whether a server is cold, a burst could reach one that turned cold a moment
@@ -174,8 +174,8 @@
     m_inputs = {};
     m_inputs.home = question.homeLoad;
     m_inputs.listRevision = table->list.revision;
-    if (table->list.heardAt != TimePoint{})
-        m_inputs.listAge = now - table->list.heardAt;
+    if (table->list.confirmedAt != TimePoint{})
+        m_inputs.listAge = now - table->list.confirmedAt;
     if (m_exchange->prompt.tokens > 0)
         m_inputs.bearableSeconds = m_state.habits.bearableSeconds(loadName(*m_exchange), now);
     if (away)
@@ -214,7 +214,7 @@
     if (m_exchange->prompt.tokens > 0) {
         const TimePoint now = m_state.clock.now();
         const std::string &pool = loadName(*m_exchange);
-        question.eventSeconds = load.eventSeconds;
+        question.eventIntervalSeconds = load.eventIntervalSeconds;
         question.bearableSeconds = m_state.habits.bearableSeconds(pool, now);
         question.lessUrgent = m_state.habits.lessUrgent(pool, question.priority, now);
     }
--- a/src/entry/dispatch.cc
+++ b/src/entry/dispatch.cc
@@ -252,7 +252,7 @@
 
 void Dispatch::dropPending(const Target &target)
 {
-    target.counters->awaitingFirst -= std::exchange(m_awaitingFirst, false) ? 1 : 0;
+    target.counters->awaitingFirstToken -= std::exchange(m_awaitingFirst, false) ? 1 : 0;
 }
 
 void Dispatch::noteFirstByte(const Target &target)
@@ -319,12 +319,12 @@
         if (m_attempts == 1)
             m_state.retries.onRequest(m_exchange->customer->name, loadName(*m_exchange),
                                       m_exchange->config().limits.retryShare);
-        target.counters->probing = target.trial;
+        target.counters->trialInProgress = target.trial;
         m_turn = recordSent(*target.counters, m_attemptStarted);
         ++target.counters->inFlight;
         ++target.counters->sentSinceReport;
         m_awaitingFirst = m_exchange->prompt.tokens > 0;
-        target.counters->awaitingFirst += m_awaitingFirst ? 1 : 0;
+        target.counters->awaitingFirstToken += m_awaitingFirst ? 1 : 0;
     }
     auto attempt = std::make_shared<Attempt>(shared_from_this(), target,
                                              m_protocol.reader(*m_exchange, target.away));
--- a/src/entry/silence-watch.cc
+++ b/src/entry/silence-watch.cc
@@ -19,7 +19,7 @@
 
 std::string heardAgo(const ServerCounters &counters, TimePoint now)
 {
-    const Duration::rep at = counters.heardAt;
+    const Duration::rep at = counters.lastReceivedAt;
     return at == 0 ? "never" : millisecondsText(now.time_since_epoch() - Duration(at));
 }
 
@@ -87,7 +87,7 @@
             {{"server", view.server.name},
              {"source", std::string(source)},
              {"inFlight", std::to_string(view.counters->inFlight)},
-             {"streaming", std::to_string(view.counters->streaming)},
+             {"streaming", std::to_string(view.counters->awaitedStreams)},
              {"heardMsAgo", heardAgo(*view.counters, now)}});
 }
 
@@ -115,7 +115,7 @@
         const ServerView *view = findView(table, entry.first);
         if (view == nullptr)
             return true;
-        if (Duration(view->counters->heardAt.load()) > entry.second.since.time_since_epoch())
+        if (Duration(view->counters->lastReceivedAt.load()) > entry.second.since.time_since_epoch())
             heard.push_back(entry.first);
         return false;
     });
@@ -166,7 +166,7 @@
         return;
     logLine(LogPart::load, LogLevel::info, "Backend server did not answer.",
             {{"server", view.server.name},
-             {"streaming", std::to_string(view.counters->streaming)},
+             {"streaming", std::to_string(view.counters->awaitedStreams)},
              {"heardMsAgo", heardAgo(*view.counters, m_state.clock.now())}});
 }
 
--- a/test/pick-test.cc
+++ b/test/pick-test.cc
@@ -120,7 +120,7 @@
     REQUIRE(found.size() == 2);
     CHECK(found[0].view->server.name == "usable");
     CHECK(found[1].view->server.name == "trial");
-    table.servers[5].counters->probing = true;
+    table.servers[5].counters->trialInProgress = true;
     CHECK(candidatesFor(table, service, {"tried"}).size() == 1);
 }
 
--- a/test/read-delay-test.cc
+++ b/test/read-delay-test.cc
@@ -39,7 +39,7 @@
     firstTokens(1, 3000, 0, 75ms);
     firstTokens(60, 800, 8, 820ms);
     view.waiting = 8;
-    const double learnt = view.counters->msPerWaiting;
+    const double learnt = view.counters->msPerWaitingRequest;
     CHECK(readDelay(view, learnt) > 700ms);
     CHECK(readDelay(view, learnt) < 900ms);
 }
@@ -48,7 +48,7 @@
 {
     view.waiting = 2;
     view.counters->sentSinceReport = 3;
-    view.counters->awaitingFirst = 1;
+    view.counters->awaitingFirstToken = 1;
     CHECK(readDelay(view, 60) == 180ms);
 }
 
--- a/test/silence-test.cc
+++ b/test/silence-test.cc
@@ -16,10 +16,10 @@
 
     std::uint32_t beginStream()
     {
-        const std::uint32_t turn = send();
+        const std::uint32_t recoveryEpoch = send();
         recordReceived(counters, now);
-        recordStreamStarted(counters, turn);
-        return turn;
+        recordStreamStarted(counters, recoveryEpoch);
+        return recoveryEpoch;
     }
 };
 
@@ -50,7 +50,7 @@
 TEST_CASE_METHOD(SilenceFixture, "silence_serverAnswersOthersMeanwhile_isNotSilent")
 {
     beginStream();
-    counters.answeredAt = (now + 500ms).time_since_epoch().count();
+    counters.lastAnsweredAt = (now + 500ms).time_since_epoch().count();
     CHECK_FALSE(isSilent(counters, now + 700ms));
     CHECK(isSilent(counters, now + 1100ms));
 }
@@ -95,7 +95,7 @@
 TEST_CASE_METHOD(SilenceFixture, "silence_onlyFirstTokensAwaited_isNotSilent")
 {
     send();
-    counters.awaitingFirst = 1;
+    counters.awaitingFirstToken = 1;
     CHECK_FALSE(isSilent(counters, now + 5s));
 }
 
@@ -140,7 +140,7 @@
     now += 1s;
     recordRecovered(counters, now);
     send();
-    counters.awaitingFirst = 1;
+    counters.awaitingFirstToken = 1;
     CHECK_FALSE(isSilent(counters, now + 900ms));
     CHECK(isSilent(counters, now + 1s));
     recordReceived(counters, now + 1s);
@@ -151,7 +151,7 @@
 TEST_CASE_METHOD(SilenceFixture, "silence_slowServer_isGivenSomeOfItsUsualPauses")
 {
     beginStream();
-    counters.eventSeconds = 0.3;
+    counters.eventIntervalSeconds = 0.3;
     CHECK_FALSE(isSilent(counters, now + 1100ms));
     CHECK(isSilent(counters, now + 1200ms));
 }
--- a/test/stream-pace-test.cc
+++ b/test/stream-pace-test.cc
@@ -68,7 +68,7 @@
         question.service = &service;
         question.slots = 128;
         question.remaining = 10s;
-        question.eventSeconds = seconds;
+        question.eventIntervalSeconds = seconds;
         question.bearableSeconds = bearable;
         question.priority = service.priority;
         question.lessUrgent = habits.lessUrgent("pool", service.priority, now);
@@ -129,21 +129,21 @@
 
 } // namespace
 
-TEST_CASE_METHOD(PaceFixture, "eventSeconds_eventsOfStreams_followsTheirPace")
+TEST_CASE_METHOD(PaceFixture, "eventIntervalSeconds_eventsOfStreams_followsTheirInterval")
 {
-    CHECK(eventSeconds(counters, now) == 0);
+    CHECK(eventIntervalSeconds(counters, now) == 0);
     noteEvents(counters, 2, 100ms, now);
-    CHECK(eventSeconds(counters, now) == Approx(0.05));
+    CHECK(eventIntervalSeconds(counters, now) == Approx(0.05));
     for (int i = 0; i < 50; ++i)
         noteEvents(counters, 1, 200ms, now);
-    CHECK(eventSeconds(counters, now) == Approx(0.2).margin(0.01));
+    CHECK(eventIntervalSeconds(counters, now) == Approx(0.2).margin(0.01));
 }
 
 // Why: an engine that nobody asked for a while may have read all that made it slow.
-TEST_CASE_METHOD(PaceFixture, "eventSeconds_noEventsForASecond_isNotKnown")
+TEST_CASE_METHOD(PaceFixture, "eventIntervalSeconds_noEventsForASecond_isUnknown")
 {
     noteEvents(counters, 1, 200ms, now);
-    CHECK(eventSeconds(counters, now + 2s) == 0);
+    CHECK(eventIntervalSeconds(counters, now + 2s) == 0);
 }
 
 TEST_CASE_METHOD(PaceFixture, "streamHabits_longAnswers_bearNoMoreThanTheirDeadlineGives")
--- a/test/warmup-test.cc
+++ b/test/warmup-test.cc
@@ -102,7 +102,7 @@
         config.pools["pool"].warmupRate = 2.4;
         table.config = std::make_shared<const FleetConfig>(std::move(config));
         table.senders = names(senders);
-        table.list.heardAt = TimePoint{1h};
+        table.list.confirmedAt = TimePoint{1h};
         server.name = "server";
         server.pool = "pool";
     }
@@ -118,7 +118,7 @@
         // A few senders get more than one request each, of which one may be sent during a look.
         const int mostSenders = *rc::gen::element(3, 100);
         const UnsureFixture fixture(*rc::gen::inRange(1, mostSenders + 1));
-        const TimePoint since = fixture.table.list.heardAt + fixture.table.list.life;
+        const TimePoint since = fixture.table.list.confirmedAt + fixture.table.list.maxAge;
         const TimePoint cold = since + 2s;
         int sentWhileCold = 0;
         for (const std::string &sender : fixture.table.senders) {
@@ -137,7 +137,7 @@
                     look.reset();
                 }
                 if (!look && needsLook(counters, since)) {
-                    look.emplace(now, counters.unsureSent.load());
+                    look.emplace(now, counters.possiblyColdSent.load());
                     way = std::chrono::milliseconds(*rc::gen::inRange(1, 400));
                 }
                 if (*rc::gen::inRange(0, 3) > 0 && takeRisk(counters, *share, since))
