--- a/include/ibisnotch/peer-link.h
+++ b/include/ibisnotch/peer-link.h
@@ -36,7 +36,7 @@
     std::vector<SilenceUpdate> silences; // since protocol 2, as the next
     std::vector<RangeNews> ranges;
     std::vector<RangeMark> rangeMarks; // since protocol 3, as the next
-    std::vector<ColdNews> colds;
+    std::vector<ColdUpdate> colds;
     bool tellsUses = false; // since protocol 4, as the next two
     std::vector<CustomerUse> uses; // of the sender; customers that are left out use nothing
     std::vector<RegionUse> regionUses;
--- a/include/ibisnotch/server-table.h
+++ b/include/ibisnotch/server-table.h
@@ -112,13 +112,13 @@
 };
 
 // A server is cold, as it told the instance that asked it.
-struct ColdNews
+struct ColdUpdate
 {
     std::uint32_t server = 0; // serverId of its name
-    std::uint32_t leftMs = 0;
+    std::uint32_t remainingMs = 0;
 
-    template <typename Archive> void serialize(Archive &archive) { archive(server, leftMs); }
-    bool operator==(const ColdNews &) const = default;
+    template <typename Archive> void serialize(Archive &archive) { archive(server, remainingMs); }
+    bool operator==(const ColdUpdate &) const = default;
 };
 
 // How new the list of servers is.
@@ -154,7 +154,7 @@
     std::uint64_t incarnation = 0;
     TimePoint coldSince{}; // when this instance heard of it
     TimePoint coldUntil{};
-    TimePoint restUntil{}; // gets nothing before
+    TimePoint cooldownUntil{}; // gets nothing before
     TimePoint missingSince{}; // its entry of the list vanished; default: it is there
     std::shared_ptr<ServerCounters> counters;
 };
@@ -192,13 +192,13 @@
     struct Limits
     {
         int failuresToEject = 3;
-        Duration firstEjection = std::chrono::seconds(5);
-        Duration longestEjection = std::chrono::seconds(60);
-        Duration reportLife = std::chrono::seconds(10);
+        Duration firstEjectionTime = std::chrono::seconds(5);
+        Duration maxEjectionTime = std::chrono::seconds(60);
+        Duration reportMaxAge = std::chrono::seconds(10);
         // A server that is silent again so soon after a health check has a check that lies.
-        Duration believedAfter = std::chrono::seconds(10);
+        Duration relapseWindow = std::chrono::seconds(10);
         // Of a server that was found cold late: what others sent in the last second is not known.
-        Duration rest = std::chrono::milliseconds(1060);
+        Duration coldCooldown = std::chrono::milliseconds(1060);
     };
 
     explicit ServerTable(Limits limits) : m_limits(limits) { }
@@ -218,8 +218,9 @@
                       TimePoint now);
 
     // Reports since the last call, for other instances of the region; only those that came with
-    // answers to this one, unless `alsoHeard`.
-    std::vector<CompactLoad> takeFresh(TimePoint now, std::size_t most, bool alsoHeard);
+    // answers to this one, unless `includeRelayed`.
+    std::vector<CompactLoad> collectNewReports(TimePoint now, std::size_t maxCount,
+                                               bool includeRelayed);
     // Returns true if the report changed whether the server may get work.
     bool onReport(const LoadReport &report, TimePoint now);
     // The same for a report that came from another instance; unknown servers are ignored.
@@ -227,14 +228,14 @@
     // The platform's list says that these servers are leaving.
     void onLeavingList(const std::vector<LeavingNotice> &notices);
     // A server says with an answer that it is leaving.
-    void onOwnWord(const std::string &server);
+    void onSelfReportedLeaving(const std::string &server);
 
     void onAttempt(const std::string &server, AttemptHealth health, TimePoint now);
     // A server from which nothing comes any more gets nothing for a while.
     void onSilence(std::uint32_t server, TimePoint now);
     // It was heard again. After a health check that was followed by silence once more, the next one
     // is not believed, and the server has to show itself by a trial.
-    void onHeardAgain(std::uint32_t server, TimePoint now);
+    void onRecovered(std::uint32_t server, TimePoint now);
 
     // A server bears only its pool's warm-up rate for this long. True if it was not known as cold.
     bool onCold(std::uint32_t server, Duration left, TimePoint now);
@@ -242,8 +243,9 @@
     // The state of an operator's drain.
     void setDrained(const std::string &server, bool drained);
 
-    RoutingTable table(TimePoint now) const;
-    std::vector<CompactLoad> reports(TimePoint now, std::size_t most, std::size_t &cursor) const;
+    RoutingTable routingTable(TimePoint now) const;
+    std::vector<CompactLoad> reports(TimePoint now, std::size_t maxCount,
+                                     std::size_t &cursor) const;
 
 private:
     struct Record
@@ -252,30 +254,30 @@
         LoadReport report;
         TimePoint reportedAt{};
         bool everReported = false;
-        bool firstHand = false; // the report came with an answer to this instance
-        TimePoint toldAt{}; // of the last report that was told to others
+        bool receivedDirectly = false; // the report came with an answer to this instance
+        TimePoint lastSharedReportAt{}; // of the last report that was told to others
         bool leaving = false; // latched for this incarnation
-        std::uint64_t noticeMs = 0; // of the platform's list
+        std::uint64_t leavingNoticeMs = 0; // of the platform's list
         bool drained = false;
         int failures = 0;
         int ejections = 0;
         TimePoint ejectedUntil{};
-        TimePoint heardAgainAt{};
+        TimePoint recoveredAt{};
         bool needsTrial = false;
         std::uint64_t revision = 0; // of the platform's list
         TimePoint coldSince{};
         TimePoint coldUntil{};
-        TimePoint restUntil{};
+        TimePoint cooldownUntil{};
         TimePoint missingSince{};
         std::shared_ptr<ServerCounters> counters;
     };
 
-    void learnTraffic(double reported, double own);
+    void recordTraffic(double reported, double own);
     static CompactLoad compact(const Record &record, TimePoint now);
     void eject(Record &record, TimePoint now);
     Record *find(std::uint32_t server); // with the lock held; null if unknown
     ServerStatus statusOf(const Record &record, TimePoint now) const;
-    static void noteCold(Record &record, Duration left, TimePoint now);
+    static void recordCold(Record &record, Duration left, TimePoint now);
     static void startIncarnation(Record &record, const LoadReport &report);
 
     Limits m_limits;
@@ -291,7 +293,7 @@
     std::map<std::uint32_t, std::string> m_names;
     // Servers that said themselves until when they are cold. An entry of the list that is read late
     // may be older than that, and may be gone and back meanwhile.
-    std::map<std::string, TimePoint> m_toldCold;
+    std::map<std::string, TimePoint> m_selfReportedCold;
     std::vector<std::string> m_senders;
     double m_reportedTraffic = 0; // both smoothed over reports
     double m_ownTraffic = 0;
--- a/src/decide/server-table.cc
+++ b/src/decide/server-table.cc
@@ -58,9 +58,9 @@
 {
     // One request among those of a hundred instances tells next to nothing of the others': taken
     // for all of theirs, it had a full server look empty once it ended, and the other way round.
-    constexpr double mostTold = 4;
+    constexpr double maxTrafficFactor = 4;
     const int own = view.counters->sentSinceReport - view.counters->endedSinceReport;
-    const double corrected = view.reported + own * std::min(trafficFactor, mostTold);
+    const double corrected = view.reported + own * std::min(trafficFactor, maxTrafficFactor);
     return std::max(corrected, static_cast<double>(view.counters->inFlight));
 }
 
@@ -123,9 +123,10 @@
         // was started again under its name.
         record.revision = listed.revision;
         record.leaving = listed.leaving;
-        const auto told = m_toldCold.find(name);
-        const Duration toldLeft = told == m_toldCold.end() ? Duration(0) : told->second - now;
-        noteCold(record, std::max(listed.warmup, toldLeft), now);
+        const auto told = m_selfReportedCold.find(name);
+        const Duration selfReportedRemaining
+            = told == m_selfReportedCold.end() ? Duration(0) : told->second - now;
+        recordCold(record, std::max(listed.warmup, selfReportedRemaining), now);
     }
     m_records = std::move(records);
     m_names.clear();
@@ -133,7 +134,7 @@
         m_names[serverId(name)] = name;
 }
 
-void ServerTable::noteCold(Record &record, Duration left, TimePoint now)
+void ServerTable::recordCold(Record &record, Duration left, TimePoint now)
 {
     if (left.count() > 0 && now >= record.coldUntil)
         record.coldSince = now;
@@ -150,7 +151,7 @@
     onReport(report, now);
     const std::lock_guard lock(m_mutex);
     if (const auto found = m_records.find(server); found != m_records.end())
-        found->second.firstHand = true;
+        found->second.receivedDirectly = true;
 }
 
 CompactLoad ServerTable::compact(const Record &record, TimePoint now)
@@ -162,23 +163,25 @@
     return compactLoad(report);
 }
 
-std::vector<CompactLoad> ServerTable::takeFresh(TimePoint now, std::size_t most, bool alsoHeard)
+std::vector<CompactLoad> ServerTable::collectNewReports(TimePoint now, std::size_t maxCount,
+                                                        bool includeRelayed)
 {
     const std::lock_guard lock(m_mutex);
     std::vector<Record *> fresh;
     for (auto &[name, record] : m_records) {
-        const bool mayTell = record.firstHand || alsoHeard;
-        if (mayTell && record.reportedAt > record.toldAt)
+        const bool mayTell = record.receivedDirectly || includeRelayed;
+        if (mayTell && record.reportedAt > record.lastSharedReportAt)
             fresh.push_back(&record);
     }
     // In the order of their names the first ones would be told each time, and in a large region the
     // others never.
-    std::stable_sort(fresh.begin(), fresh.end(),
-                     [](const Record *a, const Record *b) { return a->toldAt < b->toldAt; });
-    fresh.resize(std::min(fresh.size(), most));
+    std::stable_sort(fresh.begin(), fresh.end(), [](const Record *a, const Record *b) {
+        return a->lastSharedReportAt < b->lastSharedReportAt;
+    });
+    fresh.resize(std::min(fresh.size(), maxCount));
     std::vector<CompactLoad> result;
     for (Record *record : fresh) {
-        record->toldAt = record->reportedAt;
+        record->lastSharedReportAt = record->reportedAt;
         result.push_back(compact(*record, now));
     }
     return result;
@@ -193,7 +196,7 @@
 void ServerTable::startIncarnation(Record &record, const LoadReport &report)
 {
     // The list may have named this run before its first report told when it started.
-    record.leaving = report.incarnation <= record.noticeMs;
+    record.leaving = report.incarnation <= record.leavingNoticeMs;
     record.failures = 0;
     record.ejections = 0;
     record.ejectedUntil = {};
@@ -242,10 +245,10 @@
     record.report.incarnation = incarnation;
     record.reportedAt = at;
     record.everReported = true;
-    record.firstHand = false;
+    record.receivedDirectly = false;
     if (report.reachable) {
         record.counters->lastAnsweredAt = at.time_since_epoch().count();
-        learnTraffic(report.running + report.waiting, record.counters->inFlight);
+        recordTraffic(report.running + report.waiting, record.counters->inFlight);
         record.counters->sentSinceReport = 0;
         record.counters->endedSinceReport = 0;
     }
@@ -259,14 +262,14 @@
         const auto found = m_records.find(notice.server);
         if (found == m_records.end())
             continue;
-        found->second.noticeMs = std::max(found->second.noticeMs, notice.sinceMs);
+        found->second.leavingNoticeMs = std::max(found->second.leavingNoticeMs, notice.sinceMs);
         // A server that started after the notice is another run under the same name.
         if (found->second.report.incarnation <= notice.sinceMs)
             found->second.leaving = true;
     }
 }
 
-void ServerTable::onOwnWord(const std::string &server)
+void ServerTable::onSelfReportedLeaving(const std::string &server)
 {
     const std::lock_guard lock(m_mutex);
     const auto found = m_records.find(server);
@@ -301,8 +304,8 @@
 
 void ServerTable::eject(Record &record, TimePoint now)
 {
-    const Duration pause = m_limits.firstEjection * (1 << std::min(record.ejections, 10));
-    record.ejectedUntil = now + std::min(pause, m_limits.longestEjection);
+    const Duration pause = m_limits.firstEjectionTime * (1 << std::min(record.ejections, 10));
+    record.ejectedUntil = now + std::min(pause, m_limits.maxEjectionTime);
     ++record.ejections;
     record.failures = 0;
 }
@@ -320,17 +323,17 @@
     Record *record = find(server);
     if (record == nullptr || now < record->ejectedUntil)
         return;
-    record->needsTrial = now - record->heardAgainAt < m_limits.believedAfter;
+    record->needsTrial = now - record->recoveredAt < m_limits.relapseWindow;
     eject(*record, now);
 }
 
-void ServerTable::onHeardAgain(std::uint32_t server, TimePoint now)
+void ServerTable::onRecovered(std::uint32_t server, TimePoint now)
 {
     const std::lock_guard lock(m_mutex);
     Record *record = find(server);
     if (record == nullptr || record->ejections == 0 || record->needsTrial)
         return;
-    record->heardAgainAt = now;
+    record->recoveredAt = now;
     record->failures = 0;
     record->ejections = 0;
     record->ejectedUntil = {};
@@ -343,11 +346,11 @@
     if (record == nullptr)
         return false;
     const bool known = now < record->coldUntil;
-    noteCold(*record, std::max(left, record->coldUntil - now), now);
-    std::erase_if(m_toldCold, [now](const auto &told) { return told.second <= now; });
-    m_toldCold[record->server.name] = record->coldUntil;
+    recordCold(*record, std::max(left, record->coldUntil - now), now);
+    std::erase_if(m_selfReportedCold, [now](const auto &told) { return told.second <= now; });
+    m_selfReportedCold[record->server.name] = record->coldUntil;
     if (!known)
-        record->restUntil = now + m_limits.rest;
+        record->cooldownUntil = now + m_limits.coldCooldown;
     return !known;
 }
 
@@ -362,7 +365,7 @@
 // Callers need not spread evenly over the instances. Taking the others' traffic for equal to our
 // own made an instance that had all the callers see three times its load and refuse at a third of
 // the capacity; what servers report against what we have in flight there tells the real factor.
-void ServerTable::learnTraffic(double reported, double own)
+void ServerTable::recordTraffic(double reported, double own)
 {
     constexpr double kept = 0.9;
     m_reportedTraffic = kept * m_reportedTraffic + (1 - kept) * reported;
@@ -381,7 +384,7 @@
     return record.ejections > 0 ? ServerStatus::trial : ServerStatus::usable;
 }
 
-RoutingTable ServerTable::table(TimePoint now) const
+RoutingTable ServerTable::routingTable(TimePoint now) const
 {
     const std::lock_guard lock(m_mutex);
     RoutingTable result;
@@ -403,7 +406,7 @@
         view.incarnation = record.report.incarnation;
         view.coldSince = record.coldSince;
         view.coldUntil = record.coldUntil;
-        view.restUntil = record.restUntil;
+        view.cooldownUntil = record.cooldownUntil;
         view.missingSince = record.missingSince;
         view.counters = record.counters;
         result.servers.push_back(std::move(view));
@@ -411,7 +414,7 @@
     return result;
 }
 
-std::vector<CompactLoad> ServerTable::reports(TimePoint now, std::size_t most,
+std::vector<CompactLoad> ServerTable::reports(TimePoint now, std::size_t maxCount,
                                               std::size_t &cursor) const
 {
     const std::lock_guard lock(m_mutex);
@@ -419,14 +422,14 @@
     const std::size_t size = m_records.size();
     if (size == 0)
         return result;
-    for (std::size_t step = 0; step < size && result.size() < most; ++step) {
+    for (std::size_t step = 0; step < size && result.size() < maxCount; ++step) {
         const auto &record = std::next(m_records.begin(), (cursor + step) % size)->second;
         const Duration age = now - record.reportedAt;
-        if (!record.everReported || age > m_limits.reportLife)
+        if (!record.everReported || age > m_limits.reportMaxAge)
             continue;
         result.push_back(compact(record, now));
     }
-    cursor = (cursor + most) % size;
+    cursor = (cursor + maxCount) % size;
     return result;
 }
 
--- a/src/entry/cold-watch.cc
+++ b/src/entry/cold-watch.cc
@@ -42,7 +42,7 @@
     return due;
 }
 
-std::optional<ColdNews> ColdWatch::onChecked(const ColdCheck &check, const WholeAnswer &answer)
+std::optional<ColdUpdate> ColdWatch::onChecked(const ColdCheck &check, const WholeAnswer &answer)
 {
     constexpr int statusOk = 200;
     const ServerView &view = check.view;
@@ -61,19 +61,19 @@
     if (!left)
         return std::nullopt;
     const auto ms = std::chrono::duration_cast<std::chrono::milliseconds>(*left).count();
-    const ColdNews news{serverId(view.server.name), static_cast<std::uint32_t>(ms)};
+    const ColdUpdate news{serverId(view.server.name), static_cast<std::uint32_t>(ms)};
     if (!onNews(news))
         return std::nullopt;
     logLine(LogPart::load, LogLevel::info, "Backend server cold.",
             {{"server", view.server.name},
              {"source", "health check"},
-             {"leftMs", std::to_string(news.leftMs)}});
+             {"leftMs", std::to_string(news.remainingMs)}});
     return news;
 }
 
-bool ColdWatch::onNews(const ColdNews &news)
+bool ColdWatch::onNews(const ColdUpdate &news)
 {
-    const Duration left = std::chrono::milliseconds(news.leftMs);
+    const Duration left = std::chrono::milliseconds(news.remainingMs);
     return m_state.servers.onCold(news.server, left, m_state.clock.now());
 }
 
--- a/src/entry/cold-watch.h
+++ b/src/entry/cold-watch.h
@@ -32,9 +32,9 @@
     // that this instance has sent to, or may want to, since it last found them warm.
     std::vector<ColdCheck> dueForCheck(const std::function<bool(const ServerView &)> &watches);
     // The answer to that. What the region's other instances have to hear, if anything.
-    std::optional<ColdNews> onChecked(const ColdCheck &check, const WholeAnswer &answer);
+    std::optional<ColdUpdate> onChecked(const ColdCheck &check, const WholeAnswer &answer);
     // From another instance of the region. True if it was news.
-    bool onNews(const ColdNews &news);
+    bool onNews(const ColdUpdate &news);
 
 private:
     EntryState &m_state;
--- a/src/entry/control-loads.cc
+++ b/src/entry/control-loads.cc
@@ -77,7 +77,7 @@
     const TimePoint now = m_state.clock.now();
     const bool reporting = amongFirst(reporterTask, 1);
     GossipMessage message = emptyNews();
-    message.loads = m_state.servers.takeFresh(now, loadsPerMessage, reporting);
+    message.loads = m_state.servers.collectNewReports(now, loadsPerMessage, reporting);
     if (message.loads.empty())
         return;
     if (reporting)
@@ -173,7 +173,7 @@
     }
 }
 
-void Control::shareCold(const std::optional<ColdNews> &news)
+void Control::shareCold(const std::optional<ColdUpdate> &news)
 {
     if (!news)
         return;
--- a/src/entry/control.cc
+++ b/src/entry/control.cc
@@ -265,7 +265,8 @@
     const TimePoint now = m_state.clock.now();
     m_routingDirty = false;
     m_lastPublish = now;
-    m_state.routing.publish(std::make_shared<const RoutingTable>(m_state.servers.table(now)));
+    m_state.routing.publish(
+        std::make_shared<const RoutingTable>(m_state.servers.routingTable(now)));
 }
 
 void Control::updateOwnLoad()
@@ -337,7 +338,7 @@
             m_silence.onNews(news);
         for (const RangeNews &news : message.ranges)
             m_source->onNews(news, from);
-        for (const ColdNews &news : message.colds)
+        for (const ColdUpdate &news : message.colds)
             m_cold.onNews(news);
         if (message.tellsUses)
             m_state.usage.onInstanceUse(message.probe.sender.name, message.uses, now);
--- a/src/entry/control.h
+++ b/src/entry/control.h
@@ -80,7 +80,7 @@
     void updateOwnLoad();
 
     void watchCold();
-    void shareCold(const std::optional<ColdNews> &news);
+    void shareCold(const std::optional<ColdUpdate> &news);
     void watchSilence();
     void shareSilence(std::vector<SilenceUpdate> news);
     void sendToRegion(const GossipMessage &message);
--- a/src/entry/dispatch-plan.cc
+++ b/src/entry/dispatch-plan.cc
@@ -58,7 +58,7 @@
     const TimePoint now = m_state.clock.now();
     if (now >= view.coldUntil)
         return true;
-    if (now < view.restUntil)
+    if (now < view.cooldownUntil)
         return false;
     // An instance that has just started does not yet know with whom it shares.
     if (now < m_state.startedAt + membersKnownAfter)
--- a/src/entry/dispatch.cc
+++ b/src/entry/dispatch.cc
@@ -278,7 +278,7 @@
         m_streaming = m_streaming || recordStreamStarted(*target.counters, m_turn);
     }
     if (reader.leaving())
-        m_state.servers.onOwnWord(target.name);
+        m_state.servers.onSelfReportedLeaving(target.name);
     if (const auto load = m_answerLoad)
         m_state.servers.onAnswerLoad(target.name, load->running, load->waiting,
                                      m_state.clock.now());
--- a/src/entry/silence-watch.cc
+++ b/src/entry/silence-watch.cc
@@ -95,7 +95,7 @@
 {
     const TimePoint now = m_state.clock.now();
     m_silent.erase(name);
-    m_state.servers.onHeardAgain(serverId(name), now);
+    m_state.servers.onRecovered(serverId(name), now);
     logLine(LogPart::load, LogLevel::info, "Backend server heard again.",
             {{"server", name}, {"source", std::string(source)}});
 }
--- a/src/experiment/experiment.cc
+++ b/src/experiment/experiment.cc
@@ -360,7 +360,7 @@
     {
         for (const auto &entry : m_entries[region]) {
             entry->servers.onReport(load, at(m_now));
-            entry->table = entry->servers.table(at(m_now));
+            entry->table = entry->servers.routingTable(at(m_now));
         }
         const auto candidates = candidatesFor(m_entries[region][0]->table, m_plain, {});
         for (const Service *service : {&m_plain, &m_valuable})
--- a/src/ibisnotch-slopes.cc
+++ b/src/ibisnotch-slopes.cc
@@ -119,7 +119,7 @@
         ServerTable table({});
         TimePoint now{std::chrono::hours(1)};
         table.setConfig(config);
-        const auto routing = std::make_shared<const RoutingTable>(table.table(now));
+        const auto routing = std::make_shared<const RoutingTable>(table.routingTable(now));
         const std::size_t heap = heapBytes() - before;
         std::uint64_t next = 0;
         const double reportCost = costOf([&] {
@@ -129,7 +129,7 @@
             now += std::chrono::microseconds(10);
             table.onReport(report, now);
         });
-        const double tableCost = costOf([&] { table.table(now); });
+        const double tableCost = costOf([&] { table.routingTable(now); });
         Service service;
         service.model = "model-0";
         Random random(1);
--- a/test/server-table-test.cc
+++ b/test/server-table-test.cc
@@ -36,7 +36,7 @@
 
     ServerStatus status()
     {
-        for (const ServerView &view : table.table(now).servers) {
+        for (const ServerView &view : table.routingTable(now).servers) {
             if (view.server.name == "a-m")
                 return view.status;
         }
@@ -58,7 +58,7 @@
         if (way == 0)
             fixture.table.onReport(report(7, true), fixture.now);
         else if (way == 1)
-            fixture.table.onOwnWord("a-m");
+            fixture.table.onSelfReportedLeaving("a-m");
         else
             fixture.table.onLeavingList({{"a-m", 7}});
         for (int i = 0; i < 10; ++i) {
@@ -76,7 +76,7 @@
     table.onSilence(serverId("a-m"), now);
     CHECK(status() == ServerStatus::ejected);
     now += 500ms;
-    table.onHeardAgain(serverId("a-m"), now);
+    table.onRecovered(serverId("a-m"), now);
     CHECK(status() == ServerStatus::usable);
 }
 
@@ -86,10 +86,10 @@
 TEST_CASE_METHOD(TableFixture, "silentServer_silentAgainAfterAHealthCheck_needsATrial")
 {
     table.onSilence(serverId("a-m"), now);
-    table.onHeardAgain(serverId("a-m"), now);
+    table.onRecovered(serverId("a-m"), now);
     now += 3s;
     table.onSilence(serverId("a-m"), now);
-    table.onHeardAgain(serverId("a-m"), now);
+    table.onRecovered(serverId("a-m"), now);
     CHECK(status() == ServerStatus::ejected);
     now += 5s;
     CHECK(status() == ServerStatus::trial);
@@ -165,7 +165,7 @@
     LoadReport loaded = report(7);
     loaded.running = 3;
     table.onReport(loaded, now);
-    const RoutingTable routing = table.table(now);
+    const RoutingTable routing = table.routingTable(now);
     const ServerView &view = routing.servers.at(1);
     view.counters->sentSinceReport = 2;
     CHECK(correctedLoad(view, 1) == Approx(5));
@@ -183,7 +183,7 @@
     ServerTable other{ServerTable::Limits{}};
     other.setConfig(std::make_shared<const FleetConfig>(*parseFleetConfig(document, "a")));
     other.onReport(compactLoad(sent), now);
-    const RoutingTable routing = other.table(now);
+    const RoutingTable routing = other.routingTable(now);
     CHECK(routing.servers.at(1).status == ServerStatus::leaving);
     CHECK(routing.servers.at(1).incarnation == sent.incarnation);
     CHECK(routing.servers.at(1).reported == 3 + 65535);
@@ -197,7 +197,7 @@
 TEST_CASE_METHOD(TableFixture, "trafficFactor_ofUnevenCallers_isLearntFromReports")
 {
     table.setSenders({"a", "b", "c"});
-    const auto counters = table.table(now).servers.at(1).counters;
+    const auto counters = table.routingTable(now).servers.at(1).counters;
     const auto learn = [&](std::uint32_t reported, int own) {
         counters->inFlight = own;
         for (int i = 0; i < 60; ++i) {
@@ -206,7 +206,7 @@
             load.running = reported;
             table.onReport(load, now);
         }
-        return table.table(now).trafficFactor;
+        return table.routingTable(now).trafficFactor;
     };
     CHECK(learn(10, 10) == Approx(1));
     CHECK(learn(10, 5) == Approx(2).epsilon(0.05));
@@ -218,13 +218,13 @@
 {
     CHECK(table.onCold(serverId("a-m"), 3s, now));
     CHECK_FALSE(table.onCold(serverId("a-m"), 1s, now + 100ms));
-    for (const ServerView &view : table.table(now).servers) {
+    for (const ServerView &view : table.routingTable(now).servers) {
         if (view.server.name != "a-m")
             continue;
         CHECK(view.coldSince == now);
         CHECK(view.coldUntil == now + 3s);
-        CHECK(view.restUntil > now + 1s);
-        CHECK(view.restUntil < now + 2s);
+        CHECK(view.cooldownUntil > now + 1s);
+        CHECK(view.cooldownUntil < now + 2s);
     }
     CHECK_FALSE(table.onCold(serverId("nobody"), 3s, now));
 }
@@ -238,7 +238,7 @@
     entry.server.address = "127.0.0.1:1";
     entry.revision = 1;
     const auto missingSince = [&] {
-        const auto servers = table.table(now).servers;
+        const auto servers = table.routingTable(now).servers;
         const auto found = std::find_if(servers.begin(), servers.end(), [](const ServerView &view) {
             return view.server.name == "s";
         });
@@ -265,7 +265,7 @@
         return std::map<std::string, ListedServer>{{"s", entry}};
     };
     const auto coldUntil = [&] {
-        for (const ServerView &view : table.table(now).servers) {
+        for (const ServerView &view : table.routingTable(now).servers) {
             if (view.server.name == "s")
                 return view.coldUntil;
         }
@@ -306,7 +306,7 @@
         now += 250ms;
         for (const auto &[name, entry] : listed)
             table.onAnswerLoad(name, 1, 0, now);
-        for (const CompactLoad &load : table.takeFresh(now, perMessage, true))
+        for (const CompactLoad &load : table.collectNewReports(now, perMessage, true))
             ++told[load.server];
     }
     CHECK(told.size() == servers);
