--- a/include/ibisnotch/warmup.h
+++ b/include/ibisnotch/warmup.h
@@ -23,61 +23,66 @@
 // may use up all that the server bears. Returning servers crash when every instance takes them for
 // the least loaded and sends at once, so what one bears in a second is dealt out: to a few senders,
 // the same ones from everyone's view, whole requests each.
-std::optional<Duration> warmupPause(double rate, const WarmupBound &bound,
-                                    const std::vector<std::string> &senders,
-                                    const std::string &self, const std::string &server);
+std::optional<Duration> warmupInterval(double rate, const WarmupBound &bound,
+                                       const std::vector<std::string> &senders,
+                                       const std::string &self, const std::string &server);
 
 // Whether one request may be sent now to a server that this instance has taken for cold since
 // `coldSince`. What was sent shortly before that may have met a server that was cold already, so it
 // counts against the bound too.
-bool mayWarm(const ServerCounters &counters, Duration pause, TimePoint coldSince, TimePoint now);
+bool canSendWarmupRequest(const ServerCounters &counters, Duration pause, TimePoint coldSince,
+                          TimePoint now);
 
 // Takes the right to do so. False if another thread took it in between.
-bool takeWarmup(ServerCounters &counters, Duration pause, TimePoint coldSince, TimePoint now);
+bool tryAcquireWarmupRequest(ServerCounters &counters, Duration pause, TimePoint coldSince,
+                             TimePoint now);
 
 // Since when a server may have turned cold unnoticed, as nobody has confirmed the list for so long
 // or the server's entry is missing from it; the server itself is then asked. Empty: the list tells.
-std::optional<TimePoint> unsureSince(const ListState &list, const ServerView &view, TimePoint now);
+std::optional<TimePoint> possiblyColdSince(const ListState &list, const ServerView &view,
+                                           TimePoint now);
 
 // How many requests this instance may send to a server that may have turned cold, from one look at
 // it to the next: none if others may use up all that a cold one bears, empty if it is never cold.
 // Dealt out to a few senders, so that what reaches a cold server stays within that however late the
 // next look is answered.
-std::optional<std::size_t> shareWhileUnsure(const RoutingTable &table, const WarmupBound &bound,
-                                            const std::string &self, const BackendServer &server);
+std::optional<std::size_t> possiblyColdShare(const RoutingTable &table, const WarmupBound &bound,
+                                             const std::string &self, const BackendServer &server);
 
 // Whether a look since then has found the server warm and the share is not used up.
-bool mayRisk(const ServerCounters &counters, std::size_t share, TimePoint unsureSince);
+bool canSendPossiblyCold(const ServerCounters &counters, std::size_t share,
+                         TimePoint possiblyColdSince);
 
 // Takes the right to do so. False if another thread took it in between.
-bool takeRisk(ServerCounters &counters, std::size_t share, TimePoint unsureSince);
+bool tryAcquirePossiblyCold(ServerCounters &counters, std::size_t share,
+                            TimePoint possiblyColdSince);
 
 // Whether the server has to be looked at before it may get more.
-bool needsLook(const ServerCounters &counters, TimePoint unsureSince);
+bool needsStatusCheck(const ServerCounters &counters, TimePoint possiblyColdSince);
 
 // A look was answered by a warm server; `sentBefore` is possiblyColdSent when it was sent.
-void noteWarm(ServerCounters &counters, std::uint32_t sentBefore, TimePoint now);
+void recordWarm(ServerCounters &counters, std::uint32_t sentBefore, TimePoint now);
 
 // A server that may have turned cold, as one instance sees it.
-struct UnsureServer
+struct PossiblyColdServer
 {
     TimePoint lastSentAt{}; // this instance's last request to it
-    bool falls = false; // a share of what it bears falls to this instance
+    bool hasShare = false; // a share of what it bears falls to this instance
     bool ready = false; // it may get a request now
-    bool operator==(const UnsureServer &) const = default;
+    bool operator==(const PossiblyColdServer &) const = default;
 };
 
 // Which of them may get a request now, by index. If none, one may soon, after a look, unless there
 // are no servers.
-struct UnsureAnswer
+struct PossiblyColdChoice
 {
     std::vector<std::size_t> ready;
     bool wait = false;
-    bool operator==(const UnsureAnswer &) const = default;
+    bool operator==(const PossiblyColdChoice &) const = default;
 };
 
 // An instance to which none of the servers falls may use the one that has rested longest: a refusal
 // would be certain harm.
-UnsureAnswer chooseWhileUnsure(std::span<const UnsureServer> servers);
+PossiblyColdChoice choosePossiblyCold(std::span<const PossiblyColdServer> servers);
 
 } // namespace ibisnotch
--- a/src/decide/warmup.cc
+++ b/src/decide/warmup.cc
@@ -15,14 +15,14 @@
 constexpr auto window
     = std::chrono::duration_cast<Duration>(std::chrono::duration<double>(jitterFactor));
 
-std::size_t wholeRequests(double rate, const WarmupBound &bound)
+std::size_t requestsPerWindow(double rate, const WarmupBound &bound)
 {
     return static_cast<std::size_t>(std::floor(rate * bound.factor + bound.slack));
 }
 
 // How many of the whole requests fall to this instance: the same for some senders, none for others.
-std::size_t dealtTo(const std::string &self, const std::vector<std::string> &senders,
-                    const std::string &server, std::size_t whole)
+std::size_t requestsForInstance(const std::string &self, const std::vector<std::string> &senders,
+                                const std::string &server, std::size_t whole)
 {
     if (whole == 0)
         return 0;
@@ -36,7 +36,7 @@
     return ahead >= sharing ? 0 : whole / sharing;
 }
 
-bool mayFollow(Duration::rep last, Duration pause, TimePoint coldSince, TimePoint now)
+bool canSendAfter(Duration::rep last, Duration pause, TimePoint coldSince, TimePoint now)
 {
     if (last == 0)
         return true;
@@ -46,22 +46,25 @@
 
 } // namespace
 
-std::optional<Duration> warmupPause(double rate, const WarmupBound &bound,
-                                    const std::vector<std::string> &senders,
-                                    const std::string &self, const std::string &server)
+std::optional<Duration> warmupInterval(double rate, const WarmupBound &bound,
+                                       const std::vector<std::string> &senders,
+                                       const std::string &self, const std::string &server)
 {
-    const std::size_t each = dealtTo(self, senders, server, wholeRequests(rate, bound));
+    const std::size_t each
+        = requestsForInstance(self, senders, server, requestsPerWindow(rate, bound));
     if (each == 0)
         return std::nullopt;
     return window / each;
 }
 
-bool mayWarm(const ServerCounters &counters, Duration pause, TimePoint coldSince, TimePoint now)
+bool canSendWarmupRequest(const ServerCounters &counters, Duration pause, TimePoint coldSince,
+                          TimePoint now)
 {
-    return mayFollow(counters.lastSentAt, pause, coldSince, now);
+    return canSendAfter(counters.lastSentAt, pause, coldSince, now);
 }
 
-std::optional<TimePoint> unsureSince(const ListState &list, const ServerView &view, TimePoint now)
+std::optional<TimePoint> possiblyColdSince(const ListState &list, const ServerView &view,
+                                           TimePoint now)
 {
     std::optional<TimePoint> since;
     if (list.confirmedAt != TimePoint{} && now - list.confirmedAt > list.maxAge)
@@ -71,69 +74,72 @@
     return since;
 }
 
-std::optional<std::size_t> shareWhileUnsure(const RoutingTable &table, const WarmupBound &bound,
-                                            const std::string &self, const BackendServer &server)
+std::optional<std::size_t> possiblyColdShare(const RoutingTable &table, const WarmupBound &bound,
+                                             const std::string &self, const BackendServer &server)
 {
     const auto pool = table.config->pools.find(server.pool);
     if (pool == table.config->pools.end() || pool->second.warmupRate <= 0)
         return std::nullopt;
-    const std::size_t whole = wholeRequests(pool->second.warmupRate, bound);
-    return dealtTo(self, table.senders, server.name, std::max<std::size_t>(whole, 1));
+    const std::size_t whole = requestsPerWindow(pool->second.warmupRate, bound);
+    return requestsForInstance(self, table.senders, server.name, std::max<std::size_t>(whole, 1));
 }
 
-bool mayRisk(const ServerCounters &counters, std::size_t share, TimePoint unsureSince)
+bool canSendPossiblyCold(const ServerCounters &counters, std::size_t share,
+                         TimePoint possiblyColdSince)
 {
-    const bool found = TimePoint(Duration(counters.confirmedWarmAt.load())) > unsureSince;
+    const bool found = TimePoint(Duration(counters.confirmedWarmAt.load())) > possiblyColdSince;
     return found && counters.possiblyColdSent - counters.possiblyColdVerified < share;
 }
 
-bool takeRisk(ServerCounters &counters, std::size_t share, TimePoint unsureSince)
+bool tryAcquirePossiblyCold(ServerCounters &counters, std::size_t share,
+                            TimePoint possiblyColdSince)
 {
     std::uint32_t sent = counters.possiblyColdSent;
     do {
-        if (!mayRisk(counters, share, unsureSince))
+        if (!canSendPossiblyCold(counters, share, possiblyColdSince))
             return false;
     } while (!counters.possiblyColdSent.compare_exchange_weak(sent, sent + 1));
     return true;
 }
 
-bool needsLook(const ServerCounters &counters, TimePoint unsureSince)
+bool needsStatusCheck(const ServerCounters &counters, TimePoint possiblyColdSince)
 {
-    const bool found = TimePoint(Duration(counters.confirmedWarmAt.load())) > unsureSince;
+    const bool found = TimePoint(Duration(counters.confirmedWarmAt.load())) > possiblyColdSince;
     return !found || counters.possiblyColdSent != counters.possiblyColdVerified;
 }
 
-void noteWarm(ServerCounters &counters, std::uint32_t sentBefore, TimePoint now)
+void recordWarm(ServerCounters &counters, std::uint32_t sentBefore, TimePoint now)
 {
     counters.possiblyColdVerified = sentBefore;
     counters.confirmedWarmAt = now.time_since_epoch().count();
 }
 
-UnsureAnswer chooseWhileUnsure(std::span<const UnsureServer> servers)
+PossiblyColdChoice choosePossiblyCold(std::span<const PossiblyColdServer> servers)
 {
-    UnsureAnswer answer;
-    std::size_t longestRested = 0;
+    PossiblyColdChoice answer;
+    std::size_t longestIdle = 0;
     for (std::size_t i = 0; i < servers.size(); ++i) {
         if (servers[i].ready)
             answer.ready.push_back(i);
-        if (servers[i].lastSentAt < servers[longestRested].lastSentAt)
-            longestRested = i;
+        if (servers[i].lastSentAt < servers[longestIdle].lastSentAt)
+            longestIdle = i;
     }
     if (!answer.ready.empty() || servers.empty())
         return answer;
     answer.wait = std::any_of(servers.begin(), servers.end(),
-                              [](const UnsureServer &server) { return server.falls; });
+                              [](const PossiblyColdServer &server) { return server.hasShare; });
     if (!answer.wait)
-        answer.ready.push_back(longestRested);
+        answer.ready.push_back(longestIdle);
     return answer;
 }
 
-bool takeWarmup(ServerCounters &counters, Duration pause, TimePoint coldSince, TimePoint now)
+bool tryAcquireWarmupRequest(ServerCounters &counters, Duration pause, TimePoint coldSince,
+                             TimePoint now)
 {
     Duration::rep last = counters.lastSentAt;
     const Duration::rep at = now.time_since_epoch().count();
     do {
-        if (!mayFollow(last, pause, coldSince, now))
+        if (!canSendAfter(last, pause, coldSince, now))
             return false;
     } while (!counters.lastSentAt.compare_exchange_weak(last, at));
     return true;
--- a/src/entry/cold-watch.cc
+++ b/src/entry/cold-watch.cc
@@ -25,12 +25,12 @@
     for (const ServerView &view : table->servers) {
         const bool inUse
             = view.status == ServerStatus::usable || view.status == ServerStatus::trial;
-        const auto since = unsureSince(table->list, view, now);
+        const auto since = possiblyColdSince(table->list, view, now);
         if (!since || !inUse || now < view.coldUntil)
             continue;
-        const auto share
-            = shareWhileUnsure(*table, m_state.settings.warmup, m_state.settings.name, view.server);
-        const bool wants = share && *share > 0 && needsLook(*view.counters, *since);
+        const auto share = possiblyColdShare(*table, m_state.settings.warmup, m_state.settings.name,
+                                             view.server);
+        const bool wants = share && *share > 0 && needsStatusCheck(*view.counters, *since);
         TimePoint &next = nextCheck[view.server.name];
         next = m_nextCheck[view.server.name];
         if (now < next || !(wants || watches(view)))
@@ -57,7 +57,7 @@
         return std::nullopt;
     // A check that is turned away does not tell.
     if (!left && answer.response.status == statusOk)
-        noteWarm(*view.counters, check.sentBefore, now);
+        recordWarm(*view.counters, check.sentBefore, now);
     if (!left)
         return std::nullopt;
     const auto ms = std::chrono::duration_cast<std::chrono::milliseconds>(*left).count();
--- a/src/entry/dispatch-plan.cc
+++ b/src/entry/dispatch-plan.cc
@@ -64,7 +64,7 @@
     if (now < m_state.startedAt + membersKnownAfter)
         return false;
     const auto pause = warmingPause(table, view);
-    return pause && mayWarm(*view.counters, *pause, view.coldSince, now);
+    return pause && canSendWarmupRequest(*view.counters, *pause, view.coldSince, now);
 }
 
 std::optional<Duration> Dispatch::warmingPause(const RoutingTable &table,
@@ -73,29 +73,29 @@
     const auto pool = table.config->pools.find(view.server.pool);
     if (pool == table.config->pools.end())
         return Duration(0);
-    return warmupPause(pool->second.warmupRate, m_state.settings.warmup, table.senders,
-                       m_state.settings.name, view.server.name);
+    return warmupInterval(pool->second.warmupRate, m_state.settings.warmup, table.senders,
+                          m_state.settings.name, view.server.name);
 }
 
-UnsureServer Dispatch::unsureServer(const RoutingTable &table, const ServerView &view) const
+PossiblyColdServer Dispatch::unsureServer(const RoutingTable &table, const ServerView &view) const
 {
     const ServerCounters &counters = *view.counters;
     const TimePoint lastSentAt{Duration(counters.lastSentAt.load())};
-    const auto since = unsureSince(table.list, view, m_state.clock.now());
+    const auto since = possiblyColdSince(table.list, view, m_state.clock.now());
     const auto share = since ? unsureShare(table, view) : std::nullopt;
     if (!share)
         return {lastSentAt, true, true};
-    return {lastSentAt, *share > 0, mayRisk(counters, *share, *since)};
+    return {lastSentAt, *share > 0, canSendPossiblyCold(counters, *share, *since)};
 }
 
 // While nobody tells whether a server is cold, a burst could reach one that turned cold a moment
 // ago.
 bool Dispatch::keepReady(const RoutingTable &table, std::vector<Candidate> &candidates) const
 {
-    std::vector<UnsureServer> servers;
+    std::vector<PossiblyColdServer> servers;
     for (const Candidate &candidate : candidates)
         servers.push_back(unsureServer(table, *candidate.view));
-    const UnsureAnswer answer = chooseWhileUnsure(servers);
+    const PossiblyColdChoice answer = choosePossiblyCold(servers);
     std::vector<Candidate> ready;
     for (const std::size_t index : answer.ready)
         ready.push_back(candidates[index]);
@@ -106,7 +106,7 @@
 std::optional<std::size_t> Dispatch::unsureShare(const RoutingTable &table,
                                                  const ServerView &view) const
 {
-    return shareWhileUnsure(table, m_state.settings.warmup, m_state.settings.name, view.server);
+    return possiblyColdShare(table, m_state.settings.warmup, m_state.settings.name, view.server);
 }
 
 // Takes the right to send to a server that is cold or may be. False if another thread took it in
@@ -116,13 +116,13 @@
     const TimePoint now = m_state.clock.now();
     if (now < view.coldUntil) {
         const auto pause = warmingPause(table, view);
-        return pause && takeWarmup(*view.counters, *pause, view.coldSince, now);
+        return pause && tryAcquireWarmupRequest(*view.counters, *pause, view.coldSince, now);
     }
-    const auto since = unsureSince(table.list, view, now);
+    const auto since = possiblyColdSince(table.list, view, now);
     if (!since)
         return true;
     const auto share = unsureShare(table, view);
-    return !share || *share == 0 || takeRisk(*view.counters, *share, *since);
+    return !share || *share == 0 || tryAcquirePossiblyCold(*view.counters, *share, *since);
 }
 
 Dispatch::Plan Dispatch::plan(bool admit)
--- a/src/entry/dispatch.h
+++ b/src/entry/dispatch.h
@@ -77,7 +77,7 @@
     double sharedSeconds(std::span<const Candidate> candidates) const;
     // Leaves the candidates that may get a request now. False if there are none, but one may soon.
     bool keepReady(const RoutingTable &table, std::vector<Candidate> &candidates) const;
-    UnsureServer unsureServer(const RoutingTable &table, const ServerView &view) const;
+    PossiblyColdServer unsureServer(const RoutingTable &table, const ServerView &view) const;
     std::optional<std::size_t> unsureShare(const RoutingTable &table, const ServerView &view) const;
     bool takeSendingRight(const RoutingTable &table, const ServerView &view) const;
     bool mayWarmNow(const RoutingTable &table, const ServerView &view) const;
