--- a/include/ibisnotch/region-choice.h
+++ b/include/ibisnotch/region-choice.h
@@ -23,12 +23,12 @@
     double slots = 0;
     double outstanding = 0;
     std::uint32_t ageMs = 0; // when sent, or when looked up
-    double delay = 0; // seconds before a prompt sent now is read, on average
+    double readDelaySeconds = 0; // seconds before a prompt sent now is read, on average
     double eventIntervalSeconds = 0; // between two events of a stream, on average; 0: not known
 
     template <typename Archive> void serialize(Archive &archive)
     {
-        archive(region, service, slots, outstanding, ageMs, delay, eventIntervalSeconds);
+        archive(region, service, slots, outstanding, ageMs, readDelaySeconds, eventIntervalSeconds);
     }
     bool operator==(const RegionLoad &) const = default;
 };
@@ -76,7 +76,7 @@
     Duration awayMargin{};
     // Where a server holds the parts that the prompt shares with others; empty: anywhere.
     std::string holder;
-    double sharedSeconds = 0; // in which another server reads those parts
+    double sharedReadSeconds = 0; // in which another server reads those parts
     double besideAtHome = 0; // requests that run at a server of the region, on average
     bool homeRefuses = false; // admission would refuse the request at home
     bool mayForward = true; // false once the request has changed regions
--- a/src/decide/pick.cc
+++ b/src/decide/pick.cc
@@ -19,21 +19,21 @@
 
 // What a request meets at a server, in seconds. A server whose slots are all taken counts as a
 // tenth of a second behind an empty one, so that equal waits are told apart by load.
-double waitOf(const Candidate &candidate)
+double waitSecondsAt(const Candidate &candidate)
 {
     constexpr double secondsWhenFull = 0.1;
-    return candidate.delay + secondsWhenFull * fill(candidate);
+    return candidate.readDelaySeconds + secondsWhenFull * fill(candidate);
 }
 
-bool better(const Candidate &a, const Candidate &b, const PickQuestion &question)
+bool better(const Candidate &a, const Candidate &b, const PickInput &input)
 {
-    const double costA = question.weights.cost * a.view->server.cost * question.expectedSeconds;
-    const double costB = question.weights.cost * b.view->server.cost * question.expectedSeconds;
+    const double costA = input.weights.cost * a.view->server.cost * input.expectedSeconds;
+    const double costB = input.weights.cost * b.view->server.cost * input.expectedSeconds;
     // Up to its slots a server does not make a request wait, so there the cheaper one wins.
     const bool bothFree = fill(a) <= 1 && fill(b) <= 1;
     if (bothFree && costA != costB)
         return costA < costB;
-    return waitOf(a) < waitOf(b);
+    return waitSecondsAt(a) < waitSecondsAt(b);
 }
 
 } // namespace
@@ -41,7 +41,7 @@
 namespace {
 
 template <typename Wanted>
-std::vector<Candidate> candidatesWhere(const RoutingTable &table, const Wanted &wanted)
+std::vector<Candidate> selectCandidates(const RoutingTable &table, const Wanted &wanted)
 {
     std::vector<Candidate> usable;
     std::vector<Candidate> trials;
@@ -63,24 +63,26 @@
 
 } // namespace
 
-std::vector<Candidate> candidatesFor(const RoutingTable &table, const Service &service,
-                                     const std::set<std::string> &tried, const std::string &pool)
+std::vector<Candidate> candidatesForService(const RoutingTable &table, const Service &service,
+                                            const std::set<std::string> &tried,
+                                            const std::string &pool)
 {
-    return candidatesWhere(table, [&](const BackendServer &server) {
+    return selectCandidates(table, [&](const BackendServer &server) {
         return servesService(server, service) && tried.count(server.name) == 0
             && (pool.empty() || server.pool == pool);
     });
 }
 
-std::vector<Candidate> candidatesOf(const RoutingTable &table, const std::string &pool)
+std::vector<Candidate> candidatesForPool(const RoutingTable &table, const std::string &pool)
 {
-    return candidatesWhere(table, [&](const BackendServer &server) { return server.pool == pool; });
+    return selectCandidates(table,
+                            [&](const BackendServer &server) { return server.pool == pool; });
 }
 
 namespace {
 
 // Of the engines whose queue has shown a pace; 0 without any.
-double meanMsPerWaiting(const std::vector<Candidate> &candidates)
+double meanMsPerWaitingRequest(const std::vector<Candidate> &candidates)
 {
     double sum = 0;
     int known = 0;
@@ -92,7 +94,7 @@
     return sum / std::max(1, known);
 }
 
-double bestRate(const std::vector<Candidate> &candidates)
+double bestTokensPerMs(const std::vector<Candidate> &candidates)
 {
     double best = 0;
     for (const Candidate &candidate : candidates)
@@ -102,81 +104,81 @@
 
 } // namespace
 
-void addDelays(std::vector<Candidate> &candidates, double meanTokens, TimePoint now)
+void addEngineEstimates(std::vector<Candidate> &candidates, double meanTokens, TimePoint now)
 {
-    const double rate = bestRate(candidates);
-    const double known = meanMsPerWaiting(candidates);
+    const double rate = bestTokensPerMs(candidates);
+    const double known = meanMsPerWaitingRequest(candidates);
     const double prompt = rate > 0 ? meanTokens / rate : 0;
     const double usual = known > 0 ? known : prompt;
     for (Candidate &candidate : candidates) {
         const ServerCounters &counters = *candidate.view->counters;
         const double own = counters.msPerWaitingRequest;
         const Duration delay = readDelay(*candidate.view, own > 0 ? own : usual);
-        candidate.delay = std::chrono::duration<double>(delay).count();
+        candidate.readDelaySeconds = std::chrono::duration<double>(delay).count();
         candidate.tokensPerMs = rate;
         candidate.eventIntervalSeconds = eventIntervalSeconds(counters, now);
     }
 }
 
-void dropCold(std::vector<Candidate> &candidates, TimePoint now)
+void removeCold(std::vector<Candidate> &candidates, TimePoint now)
 {
     std::erase_if(candidates,
                   [now](const Candidate &candidate) { return now < candidate.view->coldUntil; });
 }
 
-std::size_t RandomPicker::pick(const PickQuestion &question, Random &random)
+std::size_t RandomPicker::pick(const PickInput &input, Random &random)
 {
-    return random.below(question.candidates.size());
+    return random.below(input.candidates.size());
 }
 
-std::size_t RoundRobinPicker::pick(const PickQuestion &question, Random &)
+std::size_t RoundRobinPicker::pick(const PickInput &input, Random &)
 {
-    return m_next++ % question.candidates.size();
+    return m_next++ % input.candidates.size();
 }
 
-std::size_t LeastReportedPicker::pick(const PickQuestion &question, Random &)
+std::size_t LeastReportedPicker::pick(const PickInput &input, Random &)
 {
     const auto least
-        = std::min_element(question.candidates.begin(), question.candidates.end(),
+        = std::min_element(input.candidates.begin(), input.candidates.end(),
                            [](const Candidate &a, const Candidate &b) {
                                return a.view->reported / a.slots < b.view->reported / b.slots;
                            });
-    return static_cast<std::size_t>(least - question.candidates.begin());
+    return static_cast<std::size_t>(least - input.candidates.begin());
 }
 
-std::size_t TwoChoicesPicker::pick(const PickQuestion &question, Random &random)
+std::size_t TwoChoicesPicker::pick(const PickInput &input, Random &random)
 {
-    const std::size_t count = question.candidates.size();
+    const std::size_t count = input.candidates.size();
     const std::size_t a = random.below(count);
     if (count == 1)
         return a;
     std::size_t b = random.below(count - 1);
     if (b >= a)
         ++b;
-    return better(question.candidates[b], question.candidates[a], question) ? b : a;
+    return better(input.candidates[b], input.candidates[a], input) ? b : a;
 }
 
-std::size_t AffinityPicker::pick(const PickQuestion &question, Random &random)
+std::size_t AffinityPicker::pick(const PickInput &input, Random &random)
 {
-    if (question.prefix == 0)
-        return m_fallback.pick(question, random);
+    if (input.prefix == 0)
+        return m_fallback.pick(input, random);
     std::vector<std::pair<std::uint64_t, std::size_t>> order;
-    for (std::size_t i = 0; i < question.candidates.size(); ++i) {
-        const std::string &name = question.candidates[i].view->server.name;
-        order.emplace_back(rendezvousWeight(name, question.prefix), i);
+    for (std::size_t i = 0; i < input.candidates.size(); ++i) {
+        const std::string &name = input.candidates[i].view->server.name;
+        order.emplace_back(rendezvousWeight(name, input.prefix), i);
     }
     std::sort(order.rbegin(), order.rend());
     // The first two in the order may hold the prefix; a third copy would waste cache memory. The
     // second is used once the first is further behind than reading the parts at the second would
     // hold up all that run there. Against its reading time alone, the two took turns under load and
     // each read the parts anew whenever they had made room for others.
-    constexpr std::size_t homes = 2;
+    constexpr std::size_t holderCount = 2;
     std::optional<std::size_t> best;
     double bestWait = 0;
-    for (std::size_t rank = 0; rank < std::min(homes, order.size()); ++rank) {
-        const Candidate &candidate = question.candidates[order[rank].second];
-        const double read = rank == 0 ? 0 : question.sharedSeconds * (1 + candidate.load);
-        const double wait = candidate.delay + read;
+    for (std::size_t rank = 0; rank < std::min(holderCount, order.size()); ++rank) {
+        const Candidate &candidate = input.candidates[order[rank].second];
+        const double read = rank == 0 ? 0 : input.sharedReadSeconds * (1 + candidate.load);
+        const double wait = candidate.readDelaySeconds + read;
         if (fill(candidate) > m_bound || (best && wait >= bestWait))
             continue;
         best = order[rank].second;
@@ -186,12 +188,13 @@
         return *best;
     // What both have no room for goes to the next ones in the order, the same from every instance's
     // view: spread over a hundred servers, each would read the parts anew.
-    constexpr std::size_t nextHomes = 4;
-    const std::size_t other = m_fallback.pick(question, random);
-    const double mostDelay = question.candidates[other].delay + question.sharedSeconds;
-    for (std::size_t rank = homes; rank < std::min(homes + nextHomes, order.size()); ++rank) {
-        const Candidate &candidate = question.candidates[order[rank].second];
-        if (fill(candidate) <= m_bound && candidate.delay <= mostDelay)
+    constexpr std::size_t overflowCount = 4;
+    const std::size_t other = m_fallback.pick(input, random);
+    const double maxReadDelay = input.candidates[other].readDelaySeconds + input.sharedReadSeconds;
+    for (std::size_t rank = holderCount; rank < std::min(holderCount + overflowCount, order.size());
+         ++rank) {
+        const Candidate &candidate = input.candidates[order[rank].second];
+        if (fill(candidate) <= m_bound && candidate.readDelaySeconds <= maxReadDelay)
             return order[rank].second;
     }
     return other;
@@ -220,7 +223,7 @@
     return best;
 }
 
-std::uint64_t prefixOf(std::string_view customer, std::string_view service, std::string_view body)
+std::uint64_t prefixHash(std::string_view customer, std::string_view service, std::string_view body)
 {
     const std::uint64_t seed = hash64(service, hash64(customer));
     return hash64(body.substr(0, prefixBytes), seed);
--- a/src/decide/region-choice.cc
+++ b/src/decide/region-choice.cc
@@ -61,7 +61,8 @@
     for (const Candidate &candidate : candidates) {
         load.slots += candidate.slots;
         load.outstanding += candidate.load;
-        load.delay += candidate.delay / static_cast<double>(candidates.size());
+        load.readDelaySeconds
+            += candidate.readDelaySeconds / static_cast<double>(candidates.size());
         load.eventIntervalSeconds += candidate.eventIntervalSeconds;
         paced += candidate.eventIntervalSeconds > 0 ? 1 : 0;
     }
@@ -138,10 +139,10 @@
     const auto load = table.find(holder, question.loadName, now);
     if (!load || load->outstanding + 1 > load->slots)
         return std::nullopt;
-    const double there = load->delay + 2 * seconds(question.oneWay);
-    const double atHome = question.homeLoad.slots > 0
-        ? question.homeLoad.delay + question.sharedSeconds * (1 + question.besideAtHome)
-        : std::numeric_limits<double>::infinity();
+    const double there = load->readDelaySeconds + 2 * seconds(question.oneWay);
+    const double atHome = question.homeLoad.slots > 0 ? question.homeLoad.readDelaySeconds
+            + question.sharedReadSeconds * (1 + question.besideAtHome)
+                                                      : std::numeric_limits<double>::infinity();
     const double target = seconds(question.service->target);
     const bool late = target > 0 && there > mostOfTarget * target;
     if (late || there > atHome + marginSeconds(question, true))
@@ -173,7 +174,7 @@
         return {std::nullopt, 0, true};
     const double slotWait
         = waitSeconds(question.homeLoad.slots, question.homeLoad.outstanding, expected);
-    const double homeWait = std::max(slotWait, question.homeLoad.delay);
+    const double homeWait = std::max(slotWait, question.homeLoad.readDelaySeconds);
     RegionAnswer best;
     std::optional<std::string> unknown; // a region of which no load has been heard
     double bestAway = std::numeric_limits<double>::infinity();
@@ -190,8 +191,8 @@
             continue;
         // A little noise spreads senders over regions that look alike.
         const double noise = random.uniform() * 0.01;
-        const double there
-            = std::max(waitSeconds(load->slots, load->outstanding, expected), load->delay);
+        const double there = std::max(waitSeconds(load->slots, load->outstanding, expected),
+                                      load->readDelaySeconds);
         const double away = there + 2 * seconds(question.oneWay) + noise;
         if (away < bestAway) {
             bestAway = away;
--- a/src/entry/control-loads.cc
+++ b/src/entry/control-loads.cc
@@ -55,16 +55,16 @@
     const auto add = [&](const std::string &loadName, std::vector<Candidate> candidates) {
         // With cold servers counted in, the other regions sent their prompts to a region whose
         // servers had all just come back, and 324 requests were refused in two seconds.
-        dropCold(candidates, now);
-        addDelays(candidates, m_state.prompts.mean(loadName), now);
+        removeCold(candidates, now);
+        addEngineEstimates(candidates, m_state.prompts.mean(loadName), now);
         if (loads.size() < regionLoadsPerMessage)
             loads.push_back(summarize(m_state.settings.region, loadName, candidates));
     };
     for (const auto &[name, pool] : config.pools)
-        add(name, candidatesOf(table, name));
+        add(name, candidatesForPool(table, name));
     for (const auto &[name, service] : config.services) {
         if (service.pools.empty())
-            add(name, candidatesFor(table, service, {}));
+            add(name, candidatesForService(table, service, {}));
     }
     return loads;
 }
--- a/src/entry/dispatch-end.cc
+++ b/src/entry/dispatch-end.cc
@@ -148,11 +148,11 @@
 {
     constexpr double toMs = 1000;
     const RegionLoad &home = m_inputs.home;
-    std::string text
-        = fmt::format("home:{:.0f}/{:.0f}+{:.0f}", home.outstanding, home.slots, home.delay * toMs);
+    std::string text = fmt::format("home:{:.0f}/{:.0f}+{:.0f}", home.outstanding, home.slots,
+                                   home.readDelaySeconds * toMs);
     if (const auto &away = m_inputs.away)
         text += fmt::format(";{}:{:.0f}/{:.0f}+{:.0f},age:{}", away->region, away->outstanding,
-                            away->slots, away->delay * toMs, away->ageMs);
+                            away->slots, away->readDelaySeconds * toMs, away->ageMs);
     const double seen
         = m_inputs.away ? m_inputs.away->eventIntervalSeconds : home.eventIntervalSeconds;
     if (seen > 0 && m_inputs.bearableSeconds > 0)
--- a/src/entry/dispatch-plan.cc
+++ b/src/entry/dispatch-plan.cc
@@ -23,11 +23,11 @@
 
 std::vector<Candidate> Dispatch::candidatesIn(const RoutingTable &table) const
 {
-    auto candidates = candidatesFor(table, *m_exchange->service, m_tried, m_exchange->pool);
+    auto candidates = candidatesForService(table, *m_exchange->service, m_tried, m_exchange->pool);
     // A pool may have one server in the region. One that answers, if with a failure, is better than
     // the way to another region.
     if (candidates.empty() && m_failure)
-        candidates = candidatesFor(table, *m_exchange->service, {}, m_exchange->pool);
+        candidates = candidatesForService(table, *m_exchange->service, {}, m_exchange->pool);
     std::erase_if(candidates,
                   [&](const Candidate &candidate) { return !mayWarmNow(table, *candidate.view); });
     // A request that may run once only is lost if the server on trial is still out of order.
@@ -39,12 +39,13 @@
         std::erase_if(candidates,
                       [](const Candidate &one) { return one.view->status == ServerStatus::trial; });
     if (m_exchange->prompt.tokens > 0)
-        addDelays(candidates, m_state.prompts.mean(loadName(*m_exchange)), m_state.clock.now());
+        addEngineEstimates(candidates, m_state.prompts.mean(loadName(*m_exchange)),
+                           m_state.clock.now());
     return candidates;
 }
 
 // The time in which a server of the region would read what the prompt shares.
-double Dispatch::sharedSeconds(std::span<const Candidate> candidates) const
+double Dispatch::sharedReadSeconds(std::span<const Candidate> candidates) const
 {
     if (candidates.empty() || m_exchange->prefix == 0)
         return 0;
@@ -154,7 +155,7 @@
     if (m_exchange->prefix != 0 && !m_exchange->pool.empty())
         question.holder = affinityRegion(*table, candidates, question.home, m_exchange->pool,
                                          question.allowed, m_exchange->prefix);
-    question.sharedSeconds = sharedSeconds(candidates);
+    question.sharedReadSeconds = sharedReadSeconds(candidates);
     if (!candidates.empty())
         question.besideAtHome
             = question.homeLoad.outstanding / static_cast<double>(candidates.size());
@@ -210,7 +211,7 @@
     question.lateIsUndelivered = config.weights.lateIsUndelivered;
     question.way = away ? 2 * config.regionOneWay : Duration(0);
     question.remaining = remaining();
-    question.firstDelay = m_exchange->prompt.tokens > 0 ? load.delay : 0;
+    question.firstDelay = m_exchange->prompt.tokens > 0 ? load.readDelaySeconds : 0;
     if (m_exchange->prompt.tokens > 0) {
         const TimePoint now = m_state.clock.now();
         const std::string &pool = loadName(*m_exchange);
@@ -256,18 +257,18 @@
     if (candidates.empty())
         return Refusal{ResultCode::noBackendServer, "",
                        spreadRetryAfter(noServerPause, m_state.random)};
-    PickQuestion question;
-    question.candidates = candidates;
-    question.prefix = m_exchange->prefix;
-    question.sharedSeconds = sharedSeconds(candidates);
-    question.weights = m_exchange->config().weights;
-    question.expectedSeconds = seconds(m_exchange->service->expected);
-    const Candidate &chosen = candidates[m_state.picker.pick(question, m_state.random)];
+    PickInput input;
+    input.candidates = candidates;
+    input.prefix = m_exchange->prefix;
+    input.sharedReadSeconds = sharedReadSeconds(candidates);
+    input.weights = m_exchange->config().weights;
+    input.expectedSeconds = seconds(m_exchange->service->expected);
+    const Candidate &chosen = candidates[m_state.picker.pick(input, m_state.random)];
     trace(fmt::format("picked {} of {}, load {:.1f} of {:.1f} slots", chosen.view->server.name,
                       candidates.size(), chosen.load, chosen.slots));
     m_inputs.serverLoad = chosen.load;
     m_inputs.serverSlots = chosen.slots;
-    m_inputs.serverDelay = chosen.delay;
+    m_inputs.serverDelay = chosen.readDelaySeconds;
     m_inputs.tokensPerMs = chosen.tokensPerMs;
     if (chosen.view->reportedAt != TimePoint{})
         m_inputs.reportAge = now - chosen.view->reportedAt;
--- a/src/entry/dispatch.h
+++ b/src/entry/dispatch.h
@@ -74,7 +74,7 @@
     using Plan = std::variant<Target, Refusal, Wait>;
     Plan plan(bool admit);
     std::vector<Candidate> candidatesIn(const RoutingTable &table) const;
-    double sharedSeconds(std::span<const Candidate> candidates) const;
+    double sharedReadSeconds(std::span<const Candidate> candidates) const;
     // Leaves the candidates that may get a request now. False if there are none, but one may soon.
     bool keepReady(const RoutingTable &table, std::vector<Candidate> &candidates) const;
     PossiblyColdServer unsureServer(const RoutingTable &table, const ServerView &view) const;
--- a/src/entry/filters.cc
+++ b/src/entry/filters.cc
@@ -94,7 +94,7 @@
         exchange.fingerprint
             = requestFingerprint(customer, exchange.service->name, request.body.text());
         if (exchange.service->kind == ServiceKind::model)
-            exchange.prefix = prefixOf(customer, exchange.service->name, request.body.text());
+            exchange.prefix = prefixHash(customer, exchange.service->name, request.body.text());
         const auto &allowed = exchange.customer->services;
         const bool permitted = allowed.empty()
             || std::find(allowed.begin(), allowed.end(), exchange.service->name) != allowed.end();
--- a/src/experiment/experiment.cc
+++ b/src/experiment/experiment.cc
@@ -229,7 +229,7 @@
     {
         Entry &entry = *m_entries[region][call->entry];
         const TimePoint now = at(m_now);
-        const auto candidates = candidatesFor(entry.table, *call->service, {});
+        const auto candidates = candidatesForService(entry.table, *call->service, {});
         RegionQuestion question;
         question.home = regionName(region);
         question.allowed = {"a", "b", "c"};
@@ -286,12 +286,12 @@
     void dispatch(Entry &entry, const CallPtr &call, int region,
                   const std::vector<Candidate> &candidates)
     {
-        PickQuestion question;
-        question.candidates = candidates;
-        question.prefix = call->prefix;
-        question.weights = m_setup.weights;
-        question.expectedSeconds = 0.4;
-        const Candidate &chosen = candidates[entry.picker->pick(question, m_random)];
+        PickInput input;
+        input.candidates = candidates;
+        input.prefix = call->prefix;
+        input.weights = m_setup.weights;
+        input.expectedSeconds = 0.4;
+        const Candidate &chosen = candidates[entry.picker->pick(input, m_random)];
         call->region = region;
         call->engine = chosen.view->server.name[1] - '0';
         call->counters = chosen.view->counters;
@@ -362,7 +362,7 @@
             entry->servers.onReport(load, at(m_now));
             entry->table = entry->servers.routingTable(at(m_now));
         }
-        const auto candidates = candidatesFor(m_entries[region][0]->table, m_plain, {});
+        const auto candidates = candidatesForService(m_entries[region][0]->table, m_plain, {});
         for (const Service *service : {&m_plain, &m_valuable})
             publish(region, summarize(regionName(region), service->name, candidates));
     }
--- a/src/ibisnotch-slopes.cc
+++ b/src/ibisnotch-slopes.cc
@@ -135,11 +135,11 @@
         Random random(1);
         AffinityPicker picker;
         const double pickCost = costOf([&] {
-            const auto candidates = candidatesFor(*routing, service, {});
-            PickQuestion question;
-            question.candidates = candidates;
-            question.prefix = ++next;
-            picker.pick(question, random);
+            const auto candidates = candidatesForService(*routing, service, {});
+            PickInput input;
+            input.candidates = candidates;
+            input.prefix = ++next;
+            picker.pick(input, random);
         });
         std::size_t cursor = 0;
         GossipMessage empty;
--- a/test/pick-test.cc
+++ b/test/pick-test.cc
@@ -20,16 +20,16 @@
             routing.add("s" + std::to_string(i), *rc::gen::inRange(0, 30), 8);
         routing.finish();
         Random random(seed);
-        PickQuestion question;
-        question.candidates = routing.candidates;
-        question.prefix = *rc::gen::inRange<std::uint64_t>(0, 3);
+        PickInput input;
+        input.candidates = routing.candidates;
+        input.prefix = *rc::gen::inRange<std::uint64_t>(0, 3);
         RandomPicker one;
         RoundRobinPicker two;
         LeastReportedPicker three;
         TwoChoicesPicker four;
         AffinityPicker five;
         for (Picker *picker : std::initializer_list<Picker *>{&one, &two, &three, &four, &five})
-            RC_ASSERT(picker->pick(question, random) < routing.candidates.size());
+            RC_ASSERT(picker->pick(input, random) < routing.candidates.size());
     });
 }
 
@@ -40,20 +40,20 @@
         routing.add("s" + std::to_string(i), 1, 8);
     routing.finish();
     Random random(1);
-    PickQuestion question;
-    question.candidates = routing.candidates;
-    question.prefix = 42;
+    PickInput input;
+    input.candidates = routing.candidates;
+    input.prefix = 42;
     AffinityPicker picker;
-    const std::size_t first = picker.pick(question, random);
+    const std::size_t first = picker.pick(input, random);
     for (int i = 0; i < 50; ++i)
-        CHECK(picker.pick(question, random) == first);
+        CHECK(picker.pick(input, random) == first);
     // Its first home is full: the second takes over, and only that.
     routing.candidates[first].load = 8;
-    question.candidates = routing.candidates;
-    const std::size_t second = picker.pick(question, random);
+    input.candidates = routing.candidates;
+    const std::size_t second = picker.pick(input, random);
     CHECK(second != first);
     for (int i = 0; i < 50; ++i)
-        CHECK(picker.pick(question, random) == second);
+        CHECK(picker.pick(input, random) == second);
 }
 
 // What callers see: late first tokens at a peak, though nobody sends more than before. In what
@@ -68,25 +68,25 @@
         routing.add("s" + std::to_string(i), 30, 128);
     routing.finish();
     Random random(1);
-    PickQuestion question;
-    question.candidates = routing.candidates;
-    question.prefix = 42;
-    question.sharedSeconds = 0.05;
+    PickInput input;
+    input.candidates = routing.candidates;
+    input.prefix = 42;
+    input.sharedReadSeconds = 0.05;
     AffinityPicker picker;
-    const std::size_t holder = picker.pick(question, random);
-    routing.candidates[holder].delay = 0.4;
-    question.candidates = routing.candidates;
-    CHECK(picker.pick(question, random) == holder);
-    routing.candidates[holder].delay = 2;
-    question.candidates = routing.candidates;
-    CHECK(picker.pick(question, random) != holder);
+    const std::size_t holder = picker.pick(input, random);
+    routing.candidates[holder].readDelaySeconds = 0.4;
+    input.candidates = routing.candidates;
+    CHECK(picker.pick(input, random) == holder);
+    routing.candidates[holder].readDelaySeconds = 2;
+    input.candidates = routing.candidates;
+    CHECK(picker.pick(input, random) != holder);
 }
 
 TEST_CASE("prefixOf_twoCustomers_differsForTheSamePrompt")
 {
-    CHECK(prefixOf("a", "s", "prompt") != prefixOf("b", "s", "prompt"));
-    CHECK(prefixOf("a", "s", std::string(600, 'x') + "1")
-          == prefixOf("a", "s", std::string(600, 'x') + "2"));
+    CHECK(prefixHash("a", "s", "prompt") != prefixHash("b", "s", "prompt"));
+    CHECK(prefixHash("a", "s", std::string(600, 'x') + "1")
+          == prefixHash("a", "s", std::string(600, 'x') + "2"));
 }
 
 TEST_CASE("twoChoicesPicker_freeServers_takesTheCheaper")
@@ -96,11 +96,11 @@
     routing.add("cheap", 2, 8, 1);
     routing.finish();
     Random random(1);
-    PickQuestion question;
-    question.candidates = routing.candidates;
+    PickInput input;
+    input.candidates = routing.candidates;
     TwoChoicesPicker picker;
     for (int i = 0; i < 20; ++i)
-        CHECK(picker.pick(question, random) == 1);
+        CHECK(picker.pick(input, random) == 1);
 }
 
 TEST_CASE("candidatesFor_leavingEjectedAndTried_leavesThemOut")
@@ -116,12 +116,12 @@
     table.servers[5].status = ServerStatus::trial;
     Service service;
     service.model = "m";
-    auto found = candidatesFor(table, service, {"tried"});
+    auto found = candidatesForService(table, service, {"tried"});
     REQUIRE(found.size() == 2);
     CHECK(found[0].view->server.name == "usable");
     CHECK(found[1].view->server.name == "trial");
     table.servers[5].counters->trialInProgress = true;
-    CHECK(candidatesFor(table, service, {"tried"}).size() == 1);
+    CHECK(candidatesForService(table, service, {"tried"}).size() == 1);
 }
 
 TEST_CASE_METHOD(RoutingFixture, "affinityRegion_serversOfAllRegions_agreeOnOneHolder")
@@ -160,14 +160,14 @@
     views[0].coldUntil = TimePoint(10s);
     finish();
     auto at10 = candidates;
-    dropCold(at10, TimePoint(10s));
+    removeCold(at10, TimePoint(10s));
     CHECK(at10.size() == 2);
-    dropCold(candidates, TimePoint(9s));
+    removeCold(candidates, TimePoint(9s));
     REQUIRE(candidates.size() == 1);
     CHECK(candidates[0].view->server.name == "warm");
 }
 
-// Guards against shared parts read anew all over a large region: at a peak the two homes of a
+// Guards against shared parts read anew all over a large region: at a peak the two holders of a
 // prefix are full, and what they have no room for was spread over all servers.
 TEST_CASE_METHOD(RoutingFixture, "affinityPicker_bothHomesFull_spillStaysAtAFewServers")
 {
@@ -175,19 +175,19 @@
     for (std::size_t i = 0; i < servers; ++i)
         add("e" + std::to_string(i), 4, 12);
     finish();
-    const PickQuestion question = prefixQuestion(0.16);
+    const PickInput input = prefixInput(0.16);
     AffinityPicker picker;
     Random random(1);
     std::set<std::size_t> used;
     // Each picked one fills up, as by a burst of one prefix.
     for (int request = 0; request < 48; ++request) {
-        const std::size_t picked = picker.pick(question, random);
+        const std::size_t picked = picker.pick(input, random);
         used.insert(picked);
         candidates[picked].load += 1;
     }
     CHECK(used.size() <= 6);
     // Once all of them are full, the others take what comes.
     for (int request = 0; request < 50; ++request)
-        used.insert(picker.pick(question, random));
+        used.insert(picker.pick(input, random));
     CHECK(used.size() > 6);
 }
--- a/test/read-delay-test.cc
+++ b/test/read-delay-test.cc
@@ -61,19 +61,19 @@
     finish();
     for (ServerView &view : views)
         view.waiting = 4;
-    addDelays(candidates, 2000, TimePoint{1h});
-    CHECK(candidates[0].delay == 0);
-    CHECK(candidates[1].delay == 0);
+    addEngineEstimates(candidates, 2000, TimePoint{1h});
+    CHECK(candidates[0].readDelaySeconds == 0);
+    CHECK(candidates[1].readDelaySeconds == 0);
     // The rate is known: each that waits counts as a prompt of the usual length.
     noteFirstToken(*views[0].counters, {1000, 0, 25ms, 0});
-    addDelays(candidates, 2000, TimePoint{1h});
-    CHECK(candidates[0].delay == Approx(0.2));
-    CHECK(candidates[1].delay == Approx(0.2));
+    addEngineEstimates(candidates, 2000, TimePoint{1h});
+    CHECK(candidates[0].readDelaySeconds == Approx(0.2));
+    CHECK(candidates[1].readDelaySeconds == Approx(0.2));
     for (int i = 0; i < 60; ++i)
         noteFirstToken(*views[0].counters, {1000, 2, 225ms, 40});
-    addDelays(candidates, 2000, TimePoint{1h});
-    CHECK(candidates[0].delay == Approx(0.4).margin(0.01));
-    CHECK(candidates[1].delay == candidates[0].delay);
+    addEngineEstimates(candidates, 2000, TimePoint{1h});
+    CHECK(candidates[0].readDelaySeconds == Approx(0.4).margin(0.01));
+    CHECK(candidates[1].readDelaySeconds == candidates[0].readDelaySeconds);
 }
 
 // What callers see: first tokens of 1.3 s in the region at its peak, while another has room. In
@@ -86,14 +86,14 @@
     add("a", 0, 64);
     add("b", 0, 64);
     finish();
-    const PickQuestion question = prefixQuestion(0.2);
+    const PickInput input = prefixInput(0.2);
     AffinityPicker picker;
     Random random(1);
-    const std::size_t holder = picker.pick(question, random);
-    candidates[holder].delay = 0.15;
-    CHECK(picker.pick(question, random) == holder);
-    candidates[holder].delay = 0.3;
-    CHECK(picker.pick(question, random) != holder);
+    const std::size_t holder = picker.pick(input, random);
+    candidates[holder].readDelaySeconds = 0.15;
+    CHECK(picker.pick(input, random) == holder);
+    candidates[holder].readDelaySeconds = 0.3;
+    CHECK(picker.pick(input, random) != holder);
 }
 
 TEST_CASE_METHOD(RoutingFixture, "twoChoicesPicker_serverThatReadsLate_getsNothing")
@@ -101,11 +101,11 @@
     add("a", 2, 64);
     add("b", 20, 64);
     finish();
-    candidates[0].delay = 0.5;
-    PickQuestion question;
-    question.candidates = candidates;
+    candidates[0].readDelaySeconds = 0.5;
+    PickInput input;
+    input.candidates = candidates;
     TwoChoicesPicker picker;
     Random random(1);
     for (int i = 0; i < 20; ++i)
-        CHECK(picker.pick(question, random) == 1);
+        CHECK(picker.pick(input, random) == 1);
 }
--- a/test/region-choice-test.cc
+++ b/test/region-choice-test.cc
@@ -138,7 +138,7 @@
 TEST_CASE_METHOD(RegionFixture, "regionChooser_holderElsewhereWithRoom_goesThere")
 {
     question.holder = "b";
-    question.sharedSeconds = 0.2;
+    question.sharedReadSeconds = 0.2;
     CHECK(choose().region == "b");
     question.mayForward = false;
     CHECK(choose().region == "a");
@@ -164,11 +164,11 @@
         return away;
     };
     CHECK(partAway() == 0);
-    question.homeLoad.delay = 0.4;
+    question.homeLoad.readDelaySeconds = 0.4;
     const int some = partAway();
     CHECK(some > 50);
     CHECK(some < 450);
-    question.homeLoad.delay = 3;
+    question.homeLoad.readDelaySeconds = 3;
     CHECK(partAway() > some);
     CHECK(partAway() < 700);
 }
@@ -183,7 +183,7 @@
     question.weights = {1, 0, 0, false};
     service.target = 1s;
     question.holder = "b";
-    question.sharedSeconds = 0.05;
+    question.sharedReadSeconds = 0.05;
     question.besideAtHome = 1;
     CHECK(choose().region == "a");
     question.besideAtHome = 20;
@@ -197,7 +197,7 @@
 TEST_CASE_METHOD(RegionFixture, "regionChooser_holderFurtherBehindThanHome_staysHome")
 {
     question.holder = "b";
-    question.sharedSeconds = 0.2;
+    question.sharedReadSeconds = 0.2;
     CHECK(choose().region == "b");
     RegionLoad behind{"b", "s", 8, 0, 0, 2.0};
     table.onLoad(behind, now + 1s);
--- a/test/routing-fixture.h
+++ b/test/routing-fixture.h
@@ -32,13 +32,13 @@
             candidates.push_back({&view, view.reported, static_cast<double>(view.server.slots)});
     }
 
-    PickQuestion prefixQuestion(double sharedSeconds) const
+    PickInput prefixInput(double sharedReadSeconds) const
     {
-        PickQuestion question;
-        question.candidates = candidates;
-        question.prefix = 77;
-        question.sharedSeconds = sharedSeconds;
-        return question;
+        PickInput input;
+        input.candidates = candidates;
+        input.prefix = 77;
+        input.sharedReadSeconds = sharedReadSeconds;
+        return input;
     }
 };
 
