--- a/include/ibisnotch/config.h
+++ b/include/ibisnotch/config.h
@@ -36,7 +36,7 @@
 // What a customer may use, by all instances together.
 struct UsageCap
 {
-    bool tokens = false; // counts tokens; else requests
+    bool countsTokens = false; // whether the cap counts tokens; otherwise requests
     double perSecond = 0;
     double burst = 0; // beside that, once
     double plainTokens = 0; // what a request counts that names no tokens
@@ -51,7 +51,7 @@
     std::vector<std::string> services; // empty: all
     double share = 1; // its part when capacity is short, against the others' shares
     std::optional<int> priority; // of all its requests, before that of the service
-    std::optional<UsageCap> cap;
+    std::optional<UsageCap> usageCap;
     bool anonymous = false; // stands for callers who need no key
     bool operator==(const Customer &) const = default;
 };
@@ -81,21 +81,21 @@
     std::string path; // application services only
     bool idempotent = true; // false: a booking
     Duration deadline{}; // when the caller gives none
-    Duration expected{}; // usual time of one run
+    Duration expectedDuration{}; // of one run, typically
     double worth = 1;
     int priority = 1; // 0 is most urgent
     std::vector<std::string> regions; // empty: all
-    bool open = false; // its callers need no key
+    bool allowsAnonymous = false; // whether callers may omit the key
     double objective = 0.99; // share of requests to be served in time
     // The rest serves deployments that route by host and path. Without a rule, the service is asked
     // for by its name or model.
-    std::optional<PathRule> rule;
+    std::optional<PathRule> pathRule;
     std::vector<PoolShare> pools; // empty: servers name the services or models they offer
-    Duration target{}; // in which an answer, or the first event of a stream, is worth most
-    int attempts = 3; // backend servers that may run one request
-    bool streams = false; // answered by a stream of numbered events
-    bool resumable = false; // a stream may go on at another server after its last event
-    Duration longestPause{}; // between two events of a stream that is still in time; 0: any
+    Duration targetLatency{}; // in which an answer, or the first event of a stream, is worth most
+    int maxAttempts = 3; // backend servers that may run one request
+    bool isStreaming = false; // answered by a stream of numbered events
+    bool isResumable = false; // a stream may go on at another server after its last event
+    Duration maxEventGap{}; // between two events of a stream that is still in time; 0: any
     bool operator==(const Service &) const = default;
 };
 
@@ -147,7 +147,7 @@
     double queueFactor = 2; // outstanding requests per slot before a refusal
     Duration awayMargin = std::chrono::milliseconds(200);
     int bookingShards = 16; // claim pages per hour; fixed for the life of a deployment
-    Duration bookingKeyLife = std::chrono::hours(24);
+    Duration bookingKeyLifetime = std::chrono::hours(24);
     double weightLoadsPerMinute = 4; // of the whole deployment
     bool operator==(const Limits &) const = default;
 };
@@ -162,7 +162,8 @@
     Limits limits;
     std::vector<Region> regions;
     Duration regionOneWay = std::chrono::milliseconds(80);
-    bool keyed = true; // callers show keys, unless a service is open
+    bool requiresKeys
+        = true; // callers must send a key, except to services that allow anonymous ones
     std::map<std::string, Customer> customers;
     std::map<std::string, Service> services;
     std::map<std::string, Pool> pools;
@@ -205,11 +206,11 @@
                                                                     const ConfigDocument *inForce);
 
 // The customer whose key this is, or null. Takes as long whether a key is known or not.
-const Customer *findByKey(const FleetConfig &config, std::string_view key);
+const Customer *findCustomerByKey(const FleetConfig &config, std::string_view key);
 
 // What a request is ordered by, where several wait: its customer's priority if that has one, then
 // the service's. 0 is most urgent.
-int priorityOf(const Customer &customer, const Service &service);
+int requestPriority(const Customer &customer, const Service &service);
 
 // The regions where a customer's request for a service may run, in configuration order.
 std::vector<std::string> allowedRegions(const FleetConfig &config, const Customer &customer,
@@ -217,24 +218,25 @@
 
 // Fills in what a format leaves open: the usual time of one run, taken as half of the time in which
 // an answer is expected.
-void completeServices(FleetConfig &config);
+void fillServiceDefaults(FleetConfig &config);
 
 // The service whose rule fits best, or null.
-const Service *findByPath(const FleetConfig &config, std::string_view host, std::string_view path);
+const Service *findServiceByPath(const FleetConfig &config, std::string_view host,
+                                 std::string_view path);
 
 // How many services may run in each region.
 std::map<std::string, int> servicesAllowed(const FleetConfig &config);
 
 // The pool of a service that a number in [0, 1) falls to; empty for a service without pools.
-std::string drawPool(const Service &service, double uniform);
+std::string selectPool(const Service &service, double uniform);
 
 bool servesService(const BackendServer &server, const Service &service);
 
 // Under which the anonymous customer stands among the others; no customer has this name.
-constexpr std::string_view anonymousName = "";
+constexpr std::string_view anonymousCustomerName = "";
 
 // Whose requests are those that come without a key, where a service is open or no keys are shown.
-Customer anonymousCustomer();
+Customer makeAnonymousCustomer();
 
 std::string sha256Hex(std::string_view text);
 
--- a/include/ibisnotch/process-settings.h
+++ b/include/ibisnotch/process-settings.h
@@ -31,18 +31,18 @@
     std::string name;
     std::string region;
     std::string dataCentre;
-    Address callers;
-    Address peers;
-    Address gossip;
-    std::string store; // IP:port of the platform's key-value service
+    Address callerAddress;
+    Address peerAddress;
+    Address gossipAddress;
+    std::string storeAddress; // IP:port of the platform's key-value service
     std::vector<std::string> seeds; // gossip addresses of some other instances
     Interfaces interfaces = Interfaces::own;
     // Only with the platform's interfaces, which know no admin port and no list of regions.
-    Address ready;
-    Address directory;
-    Address metrics;
+    Address readyAddress;
+    Address directoryAddress;
+    Address metricsAddress;
     std::vector<Region> regions;
-    Duration entryListLife = std::chrono::seconds(2);
+    Duration entryListTtl = std::chrono::seconds(2);
     // Retries of one pool by all instances together: a share of its requests, and this many more in
     // any ten seconds.
     double retryShare = 0.1;
@@ -52,7 +52,7 @@
     // How long a stopping instance goes on taking requests. Callers that choose an instance by the
     // directory come until their copy of its answer is old; what is taken later than this might not
     // end before the process is killed.
-    Duration serveOn{};
+    Duration drainAcceptTime{};
     int workers = 2;
     int maxConnections = 20000;
     Duration idleTimeout = std::chrono::seconds(60);
--- a/src/decide/admission.cc
+++ b/src/decide/admission.cc
@@ -86,7 +86,7 @@
 
 AdmissionAnswer Admission::ask(const AdmissionQuestion &question, Random &random)
 {
-    const double expected = seconds(question.service->expected);
+    const double expected = seconds(question.service->expectedDuration);
     const double wait = waitSeconds(question.slots, question.outstanding, expected);
     if (question.slots <= 0)
         return {ResultCode::noBackendServer, spreadRetryAfter(shortestPause, random)};
@@ -97,8 +97,8 @@
     if (needed > remaining && (question.lateIsUndelivered || wait > 0))
         return {ResultCode::deadlineTooShort, spreadRetryAfter(wait, random)};
     const double first = question.firstDelay > 0 ? question.firstDelay + seconds(question.way) : 0;
-    const double part
-        = std::max(partTurnedAway(first, seconds(question.service->target)), partTooSlow(question));
+    const double part = std::max(partTurnedAway(first, seconds(question.service->targetLatency)),
+                                 partTooSlow(question));
     if (question.draw < part)
         return {ResultCode::overloaded, spreadRetryAfter(std::max(first, remaining / 6), random)};
     if (fill < 1)
--- a/src/decide/config-check.cc
+++ b/src/decide/config-check.cc
@@ -31,7 +31,7 @@
                                              file, customerName, name));
         }
         for (const auto &[serviceName, service] : config.services) {
-            if (!permits(customer.services, serviceName))
+            if (!allows(customer.services, serviceName))
                 continue;
             if (!runsSomewhere(sites, allowedRegions(config, customer, service), service))
                 errors.push_back(fmt::format(
@@ -68,7 +68,7 @@
                                              site, name));
         }
         if (config.limits.bookingShards != first.limits.bookingShards
-            || config.limits.bookingKeyLife != first.limits.bookingKeyLife)
+            || config.limits.bookingKeyLifetime != first.limits.bookingKeyLifetime)
             errors.push_back(fmt::format("overlay of {}: limits.bookingShards, "
                                          "limits.bookingKeyLife: must be the same at all sites",
                                          site));
@@ -90,7 +90,7 @@
         errors.push_back(
             fmt::format("limits.bookingShards: may not change while keys live; keep {}",
                         old->limits.bookingShards));
-    if (now.bookingKeyLife > old->limits.bookingKeyLife)
+    if (now.bookingKeyLifetime > old->limits.bookingKeyLifetime)
         errors.emplace_back("limits.bookingKeyLife: may not grow, dropped claims would be accepted "
                             "again; keep or lower it");
 }
@@ -112,20 +112,20 @@
     if (document.overlays.empty())
         errors.push_back(document.base.name + ": no overlay given; each region needs one");
     if (!errors.empty())
-        return faults(errors);
+        return makeErrorStatus(errors);
     for (const Region &region : sites.begin()->second.regions) {
         if (sites.count(region.name) == 0)
             errors.push_back(fmt::format("{}: regions.{}: no overlay for this region",
                                          document.base.name, region.name));
     }
     if (!errors.empty())
-        return faults(errors);
+        return makeErrorStatus(errors);
     checkSameRules(sites, errors);
     checkCustomerRules(sites, sites.begin()->second, document.base.name, errors);
     if (inForce != nullptr)
         checkUnchangeable(sites, *inForce, errors);
     if (!errors.empty())
-        return faults(errors);
+        return makeErrorStatus(errors);
     return sites;
 }
 
--- a/src/decide/config-detail.h
+++ b/src/decide/config-detail.h
@@ -17,19 +17,19 @@
     return std::find(list.begin(), list.end(), item) != list.end();
 }
 
-inline bool permits(const std::vector<std::string> &list, const std::string &item)
+inline bool allows(const std::vector<std::string> &list, const std::string &item)
 {
     return list.empty() || contains(list, item);
 }
 
-inline bool isRegion(const FleetConfig &config, const std::string &name)
+inline bool isKnownRegion(const FleetConfig &config, const std::string &name)
 {
     return std::any_of(config.regions.begin(), config.regions.end(),
                        [&name](const Region &region) { return region.name == name; });
 }
 
 // One line a fault.
-inline absl::Status faults(const std::vector<std::string> &errors)
+inline absl::Status makeErrorStatus(const std::vector<std::string> &errors)
 {
     return absl::InvalidArgumentError(absl::StrJoin(errors, "\n"));
 }
--- a/src/decide/config-gate.cc
+++ b/src/decide/config-gate.cc
@@ -122,7 +122,7 @@
     // Checked again: another thread may have moved on while this one parsed.
     if (m_document && document.version <= m_document->version)
         return OfferAnswer::notNewer;
-    completeServices(*config);
+    fillServiceDefaults(*config);
     m_document = std::make_shared<const ConfigDocument>(document);
     m_config = std::make_shared<const FleetConfig>(*std::move(config));
     m_history.push_back(m_document);
--- a/src/decide/config-read.cc
+++ b/src/decide/config-read.cc
@@ -24,7 +24,7 @@
 {
     std::vector<std::string> regions = reader.texts("regions");
     for (const std::string &name : regions) {
-        if (!isRegion(config, name))
+        if (!isKnownRegion(config, name))
             reader.fail("regions",
                         fmt::format("unknown region \"{}\"; name one of the base file's "
                                     "regions",
@@ -55,7 +55,7 @@
     limits.queueFactor = reader.number("queueFactor", limits.queueFactor, 1, 100);
     limits.awayMargin = reader.duration("awayMargin", limits.awayMargin);
     limits.bookingShards = reader.integer("bookingShards", limits.bookingShards, 1, mostShards);
-    limits.bookingKeyLife = reader.duration("bookingKeyLife", limits.bookingKeyLife);
+    limits.bookingKeyLifetime = reader.duration("bookingKeyLife", limits.bookingKeyLifetime);
     limits.weightLoadsPerMinute
         = reader.number("weightLoadsPerMinute", limits.weightLoadsPerMinute, 0.1, 1000);
     reader.finish();
@@ -98,16 +98,16 @@
         return;
     SettingReader child = reader.child("usageCap");
     UsageCap cap;
-    cap.tokens = child.choice("unit", "requests", {"requests", "tokens"}) == "tokens";
+    cap.countsTokens = child.choice("unit", "requests", {"requests", "tokens"}) == "tokens";
     cap.perSecond = child.number("perSecond", 0, 0, most);
     cap.burst = child.number("burst", cap.perSecond, 0, most);
     cap.plainTokens = child.number("plainTokens", 0, 0, most);
     if (cap.perSecond <= 0)
         child.fail("perSecond", "above 0 expected; leave usageCap out for no limit");
-    if (!cap.tokens && cap.plainTokens > 0)
+    if (!cap.countsTokens && cap.plainTokens > 0)
         child.fail("plainTokens", "only with unit: tokens");
     child.finish();
-    customer.cap = cap;
+    customer.usageCap = cap;
 }
 
 void readCustomers(SettingReader &root, FleetConfig &config)
@@ -150,8 +150,8 @@
         service.kind = kind == "model" ? ServiceKind::model : ServiceKind::application;
         readServiceKind(reader, service);
         service.deadline = reader.duration("deadline", std::chrono::seconds(10));
-        service.expected = reader.duration("expected", std::chrono::milliseconds(200));
-        if (service.expected > service.deadline)
+        service.expectedDuration = reader.duration("expected", std::chrono::milliseconds(200));
+        if (service.expectedDuration > service.deadline)
             reader.fail("expected", "longer than the deadline; lower it or raise the deadline");
         service.worth = reader.number("worth", 1, 0, 1000000);
         service.priority = reader.integer("priority", 1, 0, 9);
@@ -258,11 +258,11 @@
     SettingReader root(*settings, "", errors);
     FleetConfig config = readConfig(root, site);
     config.version = document.version;
-    if (!isRegion(config, site))
+    if (!isKnownRegion(config, site))
         errors.push_back(
             fmt::format("{}: regions: no region \"{}\" for its overlay", document.base.name, site));
     if (!errors.empty())
-        return faults(errors);
+        return makeErrorStatus(errors);
     return config;
 }
 
--- a/src/decide/config.cc
+++ b/src/decide/config.cc
@@ -60,7 +60,7 @@
     return mergeSettings(*base, *overlay);
 }
 
-const Customer *findByKey(const FleetConfig &config, std::string_view key)
+const Customer *findCustomerByKey(const FleetConfig &config, std::string_view key)
 {
     const std::string hash = sha256Hex(key);
     const Customer *owner = nullptr;
@@ -75,7 +75,7 @@
     return owner;
 }
 
-Customer anonymousCustomer()
+Customer makeAnonymousCustomer()
 {
     Customer customer;
     customer.name = "callers"; // in logs and metrics
@@ -83,7 +83,7 @@
     return customer;
 }
 
-int priorityOf(const Customer &customer, const Service &service)
+int requestPriority(const Customer &customer, const Service &service)
 {
     constexpr int perCustomer = 3; // services whose priority is below that are alike
     if (!customer.priority)
@@ -96,27 +96,29 @@
 {
     std::vector<std::string> result;
     for (const Region &region : config.regions) {
-        if (permits(customer.regions, region.name) && permits(service.regions, region.name))
+        if (allows(customer.regions, region.name) && allows(service.regions, region.name))
             result.push_back(region.name);
     }
     return result;
 }
 
-void completeServices(FleetConfig &config)
+void fillServiceDefaults(FleetConfig &config)
 {
     for (auto &[name, service] : config.services) {
-        if (service.expected.count() == 0)
-            service.expected = service.target / 2;
+        if (service.expectedDuration.count() == 0)
+            service.expectedDuration = service.targetLatency / 2;
     }
 }
 
-const Service *findByPath(const FleetConfig &config, std::string_view host, std::string_view path)
+const Service *findServiceByPath(const FleetConfig &config, std::string_view host,
+                                 std::string_view path)
 {
     const Service *best = nullptr;
     for (const auto &[name, service] : config.services) {
-        if (!service.rule || service.rule->host != host || !path.starts_with(service.rule->prefix))
+        if (!service.pathRule || service.pathRule->host != host
+            || !path.starts_with(service.pathRule->prefix))
             continue;
-        if (best == nullptr || service.rule->prefix.size() > best->rule->prefix.size())
+        if (best == nullptr || service.pathRule->prefix.size() > best->pathRule->prefix.size())
             best = &service;
     }
     return best;
@@ -128,14 +130,14 @@
     for (const Region &region : config.regions) {
         const auto count
             = std::count_if(config.services.begin(), config.services.end(), [&](const auto &entry) {
-                  return permits(entry.second.regions, region.name);
+                  return allows(entry.second.regions, region.name);
               });
         allowed[region.name] = static_cast<int>(count);
     }
     return allowed;
 }
 
-std::string drawPool(const Service &service, double uniform)
+std::string selectPool(const Service &service, double uniform)
 {
     double total = 0;
     for (const PoolShare &share : service.pools)
--- a/src/decide/process-settings.cc
+++ b/src/decide/process-settings.cc
@@ -49,12 +49,12 @@
     constexpr double mostSlack = 1e6;
     constexpr double mostUsage = 1e12;
     settings.interfaces = Interfaces::platform;
-    settings.ready = readAddress(reader, "ready");
-    settings.directory = readAddress(reader, "directory");
-    settings.metrics = readAddress(reader, "metrics");
+    settings.readyAddress = readAddress(reader, "ready");
+    settings.directoryAddress = readAddress(reader, "directory");
+    settings.metricsAddress = readAddress(reader, "metrics");
     settings.regions = readRegions(reader);
-    settings.entryListLife = reader.duration("entryListLife", settings.entryListLife);
-    settings.serveOn = reader.duration("serveOn", settings.serveOn);
+    settings.entryListTtl = reader.duration("entryListLife", settings.entryListTtl);
+    settings.drainAcceptTime = reader.duration("serveOn", settings.drainAcceptTime);
     SettingReader warmup = reader.child("warmup");
     settings.warmup.factor = warmup.number("factor", 1, 0, mostSlack);
     settings.warmup.slack = warmup.number("slack", 0, 0, mostSlack);
@@ -101,10 +101,10 @@
         reader.fail("name", "may not hold a space or one of @ , .");
     settings.region = reader.requiredText("region");
     settings.dataCentre = reader.requiredText("dataCentre");
-    settings.callers = readAddress(reader, "callers");
-    settings.peers = readAddress(reader, "peers");
-    settings.gossip = readAddress(reader, "gossip");
-    settings.store = readAddress(reader, "store").text();
+    settings.callerAddress = readAddress(reader, "callers");
+    settings.peerAddress = readAddress(reader, "peers");
+    settings.gossipAddress = readAddress(reader, "gossip");
+    settings.storeAddress = readAddress(reader, "store").text();
     settings.seeds = reader.texts("seeds");
     settings.workers = reader.integer("workers", settings.workers, 1, mostWorkers);
     settings.maxConnections
--- a/src/decide/region-choice.cc
+++ b/src/decide/region-choice.cc
@@ -143,7 +143,7 @@
     const double atHome = question.homeLoad.slots > 0 ? question.homeLoad.readDelaySeconds
             + question.sharedReadSeconds * (1 + question.besideAtHome)
                                                       : std::numeric_limits<double>::infinity();
-    const double target = seconds(question.service->target);
+    const double target = seconds(question.service->targetLatency);
     const bool late = target > 0 && there > mostOfTarget * target;
     if (late || there > atHome + marginSeconds(question, true))
         return std::nullopt;
@@ -168,7 +168,7 @@
 RegionAnswer RegionChooser::choose(const RegionQuestion &question, const RegionTable &table,
                                    TimePoint now, Random &random)
 {
-    const double expected = seconds(question.service->expected);
+    const double expected = seconds(question.service->expectedDuration);
     const bool homeAllowed = contains(question.allowed, question.home);
     if (question.allowed.empty() || (!homeAllowed && !question.mayForward))
         return {std::nullopt, 0, true};
--- a/src/decide/stream-pace.cc
+++ b/src/decide/stream-pace.cc
@@ -22,10 +22,10 @@
 double bearableFor(const Service &service, double events)
 {
     // First tokens come well before their target, which may lie close to the deadline.
-    const double left
-        = std::max(seconds(service.deadline - service.target), seconds(service.deadline) / 2);
+    const double left = std::max(seconds(service.deadline - service.targetLatency),
+                                 seconds(service.deadline) / 2);
     const double toEnd = left / std::max(1.0, longAnswer * events);
-    const double pause = seconds(service.longestPause) * partOfLongestPause;
+    const double pause = seconds(service.maxEventGap) * partOfLongestPause;
     return pause > 0 ? std::min(pause, toEnd) : toEnd;
 }
 
--- a/src/decide/usage-cap.cc
+++ b/src/decide/usage-cap.cc
@@ -66,13 +66,13 @@
     const std::lock_guard lock(m_mutex);
     std::map<std::uint32_t, Account> accounts;
     for (const auto &[name, customer] : customers) {
-        if (!customer.cap)
+        if (!customer.usageCap)
             continue;
         const std::uint32_t id = customerId(name);
         const auto old = m_accounts.find(id);
         Account account = old == m_accounts.end() ? Account{} : std::move(old->second);
         account.name = name;
-        account.cap = *customer.cap;
+        account.cap = *customer.usageCap;
         const bool fresh = old == m_accounts.end();
         account.level = fresh ? slackSaved * m_limits.slack
                               : std::min(account.level, savedBurst(account.cap));
@@ -206,7 +206,7 @@
 
 UsageAnswer UsageCaps::ask(const Customer &customer, double amount, double draw, TimePoint now)
 {
-    if (!customer.cap)
+    if (!customer.usageCap)
         return {};
     const std::lock_guard lock(m_mutex);
     Account *account = find(customer.name);
--- a/src/entry/chat-pages.cc
+++ b/src/entry/chat-pages.cc
@@ -26,7 +26,7 @@
     absl::string_view token = field;
     if (!absl::ConsumePrefix(&token, "Bearer "))
         return nullptr;
-    return findByKey(config, std::string_view(token.data(), token.size()));
+    return findCustomerByKey(config, std::string_view(token.data(), token.size()));
 }
 
 } // namespace
--- a/src/entry/control.cc
+++ b/src/entry/control.cc
@@ -34,9 +34,9 @@
     self.name = settings.name;
     self.region = settings.region;
     self.dataCentre = settings.dataCentre;
-    self.callerAddress = settings.callers.text();
-    self.peerAddress = settings.peers.text();
-    self.gossipAddress = settings.gossip.text();
+    self.callerAddress = settings.callerAddress.text();
+    self.peerAddress = settings.peerAddress.text();
+    self.gossipAddress = settings.gossipAddress.text();
     self.incarnation = state.incarnation;
     return self;
 }
@@ -47,7 +47,7 @@
     : m_state(state), m_client(client),
       m_membership(selfMember(state), state.settings.seeds, MembershipSettings{}),
       m_silence(state, protocol), m_cold(state, protocol), m_protocol(protocol),
-      m_link(state.settings.gossip, *this)
+      m_link(state.settings.gossipAddress, *this)
 {
 }
 
--- a/src/entry/dispatch-booking.cc
+++ b/src/entry/dispatch-booking.cc
@@ -115,7 +115,7 @@
     // second look suffices: the page of a key whose time is over may be dropped, but no instance
     // accepts that key any more, so nobody can claim it again behind our back.
     const auto &key = std::get<CallerKey>(*m_exchange->bookingKey);
-    const Duration life = m_exchange->config().limits.bookingKeyLife;
+    const Duration life = m_exchange->config().limits.bookingKeyLifetime;
     if (!keyAccepted(key, m_state.clock.wallNow(), life) || remaining().count() <= 0) {
         settleNotRun();
         return refuse({ResultCode::bookingNotRun, "", spreadRetryAfter(1, m_state.random)});
--- a/src/entry/dispatch-plan.cc
+++ b/src/entry/dispatch-plan.cc
@@ -262,7 +262,7 @@
     input.prefix = m_exchange->prefix;
     input.sharedReadSeconds = sharedReadSeconds(candidates);
     input.weights = m_exchange->config().weights;
-    input.expectedSeconds = seconds(m_exchange->service->expected);
+    input.expectedSeconds = seconds(m_exchange->service->expectedDuration);
     const Candidate &chosen = candidates[m_state.picker.pick(input, m_state.random)];
     trace(fmt::format("picked {} of {}, load {:.1f} of {:.1f} slots", chosen.view->server.name,
                       candidates.size(), chosen.load, chosen.slots));
--- a/src/entry/dispatch.cc
+++ b/src/entry/dispatch.cc
@@ -114,8 +114,8 @@
 bool Dispatch::maySeekRoom() const
 {
     const bool goesOn
-        = m_streamed && m_exchange->service->resumable && !m_exchange->lastEvent.empty();
-    return goesOn && remaining() > m_exchange->service->expected + roomPause
+        = m_streamed && m_exchange->service->isResumable && !m_exchange->lastEvent.empty();
+    return goesOn && remaining() > m_exchange->service->expectedDuration + roomPause
         && !m_exchange->responder->closed();
 }
 
@@ -179,7 +179,7 @@
     const bool began = reader.streams();
     const Duration patience = began
         ? longestSilence
-        : std::max(leastPatience, m_exchange->service->expected * patienceFactor);
+        : std::max(leastPatience, m_exchange->service->expectedDuration * patienceFactor);
     const bool overdue = now - heard >= patience;
     const bool gone = isUnresponsive(*target.counters, now);
     const bool canResume = !m_exchange->lastEvent.empty() || !reader.lastEvent().empty();
@@ -397,7 +397,7 @@
                                attempt.reader().events(), m_state.clock.now());
     if (end == AttemptEnd::answered)
         return deliver(attempt);
-    const bool mayResume = m_exchange->service->resumable && !m_exchange->lastEvent.empty();
+    const bool mayResume = m_exchange->service->isResumable && !m_exchange->lastEvent.empty();
     if (tryAgain(end, m_streamed && !mayResume))
         return routeAgain(end);
     if (waitsForRetry(end))
@@ -465,9 +465,9 @@
     // Servers that refuse a stream which has to go on leave others to ask; its caller has a part.
     question.attemptsMade = m_streamed ? runs : m_attempts;
     question.runsMade = m_exchange->runsBefore + runs;
-    question.mostRuns = m_exchange->service->attempts;
+    question.mostRuns = m_exchange->service->maxAttempts;
     question.remaining = remaining();
-    question.expected = m_exchange->service->expected;
+    question.expected = m_exchange->service->expectedDuration;
     return question;
 }
 
--- a/src/entry/filters.cc
+++ b/src/entry/filters.cc
@@ -55,8 +55,8 @@
         const std::string token = bearerToken(exchange.request.headers);
         if (token.empty() && !exchange.fromPeer)
             return Refusal{ResultCode::unknownCustomer, "no bearer token", {}};
-        exchange.customer
-            = exchange.fromPeer ? toldByPeer(exchange) : findByKey(exchange.config(), token);
+        exchange.customer = exchange.fromPeer ? toldByPeer(exchange)
+                                              : findCustomerByKey(exchange.config(), token);
         if (exchange.customer == nullptr)
             return unknownCustomer(m_state, exchange);
         exchange.trace.customer = exchange.customer->name;
@@ -88,7 +88,7 @@
         if (refusal)
             return refusal;
         exchange.trace.service = exchange.service->name;
-        exchange.priority = priorityOf(*exchange.customer, *exchange.service);
+        exchange.priority = requestPriority(*exchange.customer, *exchange.service);
         const HttpRequest &request = exchange.request;
         const std::string &customer = exchange.customer->name;
         exchange.fingerprint
@@ -250,9 +250,9 @@
     std::optional<Refusal> apply(Exchange &exchange) override
     {
         const Customer &customer = *exchange.customer;
-        if (exchange.fromPeer || !customer.cap)
+        if (exchange.fromPeer || !customer.usageCap)
             return std::nullopt;
-        const double amount = amountOf(exchange.prompt, *customer.cap);
+        const double amount = amountOf(exchange.prompt, *customer.usageCap);
         const UsageAnswer answer
             = m_state.usage.ask(customer, amount, m_state.random.uniform(), m_state.clock.now());
         if (!answer.fits)
@@ -265,7 +265,7 @@
 private:
     static double amountOf(const Prompt &prompt, const UsageCap &cap)
     {
-        if (!cap.tokens)
+        if (!cap.countsTokens)
             return 1;
         const std::int64_t named = prompt.tokens + prompt.answerTokens;
         return named > 0 ? static_cast<double>(named) : cap.plainTokens;
@@ -274,7 +274,7 @@
     static std::string reasonText(const UsageAnswer &answer, const Customer &customer)
     {
         return fmt::format("asked:{:.0f},limit:{:.0f},cap:{:.0f},level:{:.0f},age:{}", answer.asked,
-                           answer.limit, customer.cap->perSecond, answer.level,
+                           answer.limit, customer.usageCap->perSecond, answer.level,
                            answer.newsAge ? millisecondsText(*answer.newsAge) : "alone");
     }
 
@@ -297,7 +297,7 @@
         if (!key.ok())
             return Refusal{resultCodeOf(key.status()), std::string(key.status().message()), {}};
         const auto *callerKey = std::get_if<CallerKey>(&*key);
-        const Duration life = exchange.config().limits.bookingKeyLife;
+        const Duration life = exchange.config().limits.bookingKeyLifetime;
         if (callerKey != nullptr && !keyAccepted(*callerKey, m_state.clock.wallNow(), life))
             return Refusal{ResultCode::bookingKeyForm, "the key's time is not accepted", {}};
         exchange.bookingKey = *key;
--- a/src/entry/instance.cc
+++ b/src/entry/instance.cc
@@ -53,13 +53,13 @@
     m_control->start();
     m_placement = m_interfaces->placementDesk(m_state, *m_controlClient);
     m_loop = std::make_unique<HttpLoop>(static_cast<unsigned>(settings.workers));
-    listen(settings.peers, *m_peerGateway);
+    listen(settings.peerAddress, *m_peerGateway);
     for (PagePort &port : m_interfaces->pagePorts(services)) {
         m_pageServers.push_back(std::make_unique<PageServer>(std::move(port.pages)));
         listen(port.address, *m_pageServers.back());
     }
     // The callers' port last: whoever finds it open finds the rest open too.
-    listen(settings.callers, *m_callerGateway);
+    listen(settings.callerAddress, *m_callerGateway);
 }
 
 Instance::~Instance()
@@ -108,13 +108,13 @@
             {{"inFlight", std::to_string(m_state.inFlight)}});
     const TimePoint began = m_state.clock.now();
     const TimePoint until = began + m_state.settings.drainTime;
-    m_state.servesUntil = began + m_state.settings.serveOn;
+    m_state.servesUntil = began + m_state.settings.drainAcceptTime;
     m_state.stopping = true;
     m_control->leave();
     HttpServer &callers = *m_servers.back();
     callers.closeAfterAnswers();
     // Whoever still comes is told at once to go elsewhere, rather than find nobody.
-    const Duration serveOn = m_state.settings.serveOn;
+    const Duration serveOn = m_state.settings.drainAcceptTime;
     std::this_thread::sleep_for(serveOn.count() > 0 ? serveOn + afterServing : goodbyeTime);
     callers.stopAccepting();
     while (busy()) {
--- a/src/entry/operators.cc
+++ b/src/entry/operators.cc
@@ -128,11 +128,11 @@
 
 json usageOf(const Customer &customer, const std::vector<UsageCaps::CustomerState> &states)
 {
-    if (!customer.cap)
+    if (!customer.usageCap)
         return nullptr;
-    json usage{{"unit", customer.cap->tokens ? "tokens" : "requests"},
-               {"capPerSecond", customer.cap->perSecond},
-               {"burst", customer.cap->burst}};
+    json usage{{"unit", customer.usageCap->countsTokens ? "tokens" : "requests"},
+               {"capPerSecond", customer.usageCap->perSecond},
+               {"burst", customer.usageCap->burst}};
     for (const UsageCaps::CustomerState &state : states) {
         if (state.name != customer.name)
             continue;
--- a/src/entry/own-interfaces.cc
+++ b/src/entry/own-interfaces.cc
@@ -60,7 +60,7 @@
 
 std::unique_ptr<InterfaceFactory> makeOwnInterfaces(const ProcessSettings &settings)
 {
-    return std::make_unique<OwnInterfaces>(settings.store);
+    return std::make_unique<OwnInterfaces>(settings.storeAddress);
 }
 
 } // namespace ibisnotch
--- a/src/entry/rule-filters.cc
+++ b/src/entry/rule-filters.cc
@@ -21,19 +21,19 @@
     {
         const FleetConfig &config = exchange.config();
         const HttpRequest &request = exchange.request;
-        exchange.service = findByPath(config, exchange.host, request.path);
+        exchange.service = findServiceByPath(config, exchange.host, request.path);
         if (exchange.service == nullptr)
             return Refusal{ResultCode::unknownService, "", {}};
         exchange.trace.service = exchange.service->name;
         exchange.customer = customerOf(exchange);
         if (exchange.customer == nullptr)
             return unknownCustomer(m_state, exchange);
-        exchange.priority = priorityOf(*exchange.customer, *exchange.service);
+        exchange.priority = requestPriority(*exchange.customer, *exchange.service);
         exchange.trace.customer = exchange.customer->name;
         if (request.body.size() > static_cast<std::size_t>(config.limits.maxBodyBytes))
             return Refusal{ResultCode::bodyTooLarge, "", {}};
-        exchange.pool = drawPool(*exchange.service, m_state.random.uniform());
-        exchange.streaming = exchange.service->streams;
+        exchange.pool = selectPool(*exchange.service, m_state.random.uniform());
+        exchange.streaming = exchange.service->isStreaming;
         if (exchange.prompt.tokens > 0)
             exchange.urgency = urgencyOf(exchange);
         exchange.prefix = sharedPrefix(exchange.prompt);
@@ -53,11 +53,11 @@
         };
         if (exchange.customerName)
             return exchange.customerName->empty() ? nullptr : named(*exchange.customerName);
-        const Customer *owner = exchange.key.empty() || exchange.fromPeer || !config.keyed
+        const Customer *owner = exchange.key.empty() || exchange.fromPeer || !config.requiresKeys
             ? nullptr
-            : findByKey(config, exchange.key);
-        if (owner == nullptr && (exchange.service->open || !config.keyed))
-            return named(std::string(anonymousName));
+            : findCustomerByKey(config, exchange.key);
+        if (owner == nullptr && (exchange.service->allowsAnonymous || !config.requiresKeys))
+            return named(std::string(anonymousCustomerName));
         return owner;
     }
 
--- a/src/experiment/experiment.cc
+++ b/src/experiment/experiment.cc
@@ -118,7 +118,7 @@
     {
         for (Service *service : {&m_plain, &m_valuable}) {
             service->model = "m";
-            service->expected = std::chrono::milliseconds(400);
+            service->expectedDuration = std::chrono::milliseconds(400);
         }
         m_plain.name = "plain";
         m_valuable.name = "valuable";
--- a/src/ibisnotch-entry.cc
+++ b/src/ibisnotch-entry.cc
@@ -89,7 +89,7 @@
     try {
         Instance instance(*settings, makeInterfaces(*settings));
         logLine(LogPart::entry, LogLevel::info, "Started.",
-                {{"region", settings->region}, {"callers", settings->callers.text()}});
+                {{"region", settings->region}, {"callers", settings->callerAddress.text()}});
         waitForStop(signals, instance, path);
         const bool whole = instance.drain();
         logLine(LogPart::entry, whole ? LogLevel::info : LogLevel::error,
--- a/test/admission-test.cc
+++ b/test/admission-test.cc
@@ -21,7 +21,7 @@
     AdmissionFixture()
     {
         service.name = "s";
-        service.expected = 100ms;
+        service.expectedDuration = 100ms;
         question.customer = &customer;
         question.service = &service;
         question.slots = 8;
@@ -41,7 +41,7 @@
 
     PeakFixture()
     {
-        service.target = 1s;
+        service.targetLatency = 1s;
         question.slots = 64;
     }
 
--- a/test/config-test.cc
+++ b/test/config-test.cc
@@ -149,10 +149,10 @@
     const auto sites = validateDocument(document, nullptr);
     REQUIRE(sites.ok());
     const FleetConfig &config = sites->at("a");
-    CHECK(findByKey(config, "old") == &config.customers.at("free"));
-    CHECK(findByKey(config, "new") == &config.customers.at("free"));
-    CHECK(findByKey(config, "free-token") == nullptr);
-    CHECK(config.customers.at("free").cap == UsageCap{true, 100, 100, 7});
-    CHECK(priorityOf(config.customers.at("free"), config.services.at("digest")) == 7);
-    CHECK(priorityOf(config.customers.at("homed"), config.services.at("digest")) == 1);
+    CHECK(findCustomerByKey(config, "old") == &config.customers.at("free"));
+    CHECK(findCustomerByKey(config, "new") == &config.customers.at("free"));
+    CHECK(findCustomerByKey(config, "free-token") == nullptr);
+    CHECK(config.customers.at("free").usageCap == UsageCap{true, 100, 100, 7});
+    CHECK(requestPriority(config.customers.at("free"), config.services.at("digest")) == 7);
+    CHECK(requestPriority(config.customers.at("homed"), config.services.at("digest")) == 1);
 }
--- a/test/control-test.cc
+++ b/test/control-test.cc
@@ -80,7 +80,7 @@
         ProcessSettings settings;
         settings.name = "e1";
         settings.region = "a";
-        settings.gossip = {"127.0.0.1", gossip};
+        settings.gossipAddress = {"127.0.0.1", gossip};
         return settings;
     }
 
@@ -117,7 +117,7 @@
 TEST_CASE_METHOD(ControlFixture,
                  "control_peerSpeaksBeforeItsStart_takesItsConfigurationOnceStarted")
 {
-    peer.greet(state.settings.gossip.text());
+    peer.greet(state.settings.gossipAddress.text());
     std::this_thread::sleep_for(300ms);
     CHECK(state.gate.version() == 0);
     start();
@@ -129,7 +129,7 @@
 TEST_CASE_METHOD(ControlFixture, "control_changeOfARange_isToldTwice")
 {
     start();
-    peer.greet(state.settings.gossip.text());
+    peer.greet(state.settings.gossipAddress.text());
     waitFor([this] { return state.members.read() && state.members.read()->size() == 2; });
     control.post([this] { control.tellRegion({"servers/", 4, 5, {{"servers/a", "", 5, true}}}); });
     waitFor([this] { return peer.newsHeard >= 2; });
--- a/test/path-rule-test.cc
+++ b/test/path-rule-test.cc
@@ -15,13 +15,13 @@
     {
         Service &service = config.services[name];
         service.name = name;
-        service.rule = PathRule{host, prefix};
+        service.pathRule = PathRule{host, prefix};
         return service;
     }
 
     std::string find(const std::string &host, const std::string &path) const
     {
-        const Service *service = findByPath(config, host, path);
+        const Service *service = findServiceByPath(config, host, path);
         return service == nullptr ? "" : service->name;
     }
 };
@@ -44,13 +44,13 @@
 TEST_CASE_METHOD(PathRuleFixture, "drawPool_weights_divideTheRange")
 {
     Service &service = add("s", "a", "/");
-    CHECK(drawPool(service, 0.5).empty());
+    CHECK(selectPool(service, 0.5).empty());
     service.pools = {{"p", 90}, {"q", 10}};
-    CHECK(drawPool(service, 0) == "p");
-    CHECK(drawPool(service, 0.899) == "p");
-    CHECK(drawPool(service, 0.901) == "q");
+    CHECK(selectPool(service, 0) == "p");
+    CHECK(selectPool(service, 0.899) == "p");
+    CHECK(selectPool(service, 0.901) == "q");
     service.pools = {{"p", 0}, {"q", 0}};
-    CHECK(drawPool(service, 0.5) == "q");
+    CHECK(selectPool(service, 0.5) == "q");
 }
 
 TEST_CASE_METHOD(PathRuleFixture, "servicesAllowed_servicesWithHomes_countOnlyThere")
@@ -63,7 +63,7 @@
 
 TEST_CASE_METHOD(PathRuleFixture, "completeServices_withoutExpectedTime_takesHalfOfTheTarget")
 {
-    add("s", "h", "/").target = 800ms;
-    completeServices(config);
-    CHECK(config.services["s"].expected == 400ms);
+    add("s", "h", "/").targetLatency = 800ms;
+    fillServiceDefaults(config);
+    CHECK(config.services["s"].expectedDuration == 400ms);
 }
--- a/test/process-settings-test.cc
+++ b/test/process-settings-test.cc
@@ -21,7 +21,7 @@
 {
     const auto settings = parseProcessSettings(good, "a1.yaml");
     REQUIRE(settings.ok());
-    CHECK(settings->callers == Address{"127.0.0.1", 1});
+    CHECK(settings->callerAddress == Address{"127.0.0.1", 1});
     CHECK(settings->workers == 2);
     CHECK(settings->seeds.empty());
 }
--- a/test/region-choice-test.cc
+++ b/test/region-choice-test.cc
@@ -22,7 +22,7 @@
     RegionFixture()
     {
         service.name = "s";
-        service.expected = 400ms;
+        service.expectedDuration = 400ms;
         question.home = "a";
         question.allowed = {"a", "b", "c"};
         question.reachable = {"b", "c"};
@@ -181,7 +181,7 @@
                  "regionChooser_manyWouldWaitWhileSharedPartsAreRead_goesToTheHolder")
 {
     question.weights = {1, 0, 0, false};
-    service.target = 1s;
+    service.targetLatency = 1s;
     question.holder = "b";
     question.sharedReadSeconds = 0.05;
     question.besideAtHome = 1;
--- a/test/stream-pace-test.cc
+++ b/test/stream-pace-test.cc
@@ -25,8 +25,8 @@
         answers.name = "answers";
         answers.priority = 1;
         answers.deadline = 10s;
-        answers.target = 2s;
-        answers.expected = 1s;
+        answers.targetLatency = 2s;
+        answers.expectedDuration = 1s;
         digests = answers;
         digests.name = "digests";
         digests.priority = 2;
@@ -161,14 +161,14 @@
 TEST_CASE_METHOD(PaceFixture, "streamHabits_targetNearTheDeadline_leavesHalfOfIt")
 {
     answers.deadline = 2600ms;
-    answers.target = 2500ms;
+    answers.targetLatency = 2500ms;
     ended(answers, 2);
     CHECK(habits.bearableSeconds("pool", now) == Approx(0.325)); // 1.3 s for 4 events
 }
 
 TEST_CASE_METHOD(PaceFixture, "streamHabits_pausesMakeLate_bearHalfOfTheLongest")
 {
-    answers.longestPause = 100ms;
+    answers.maxEventGap = 100ms;
     ended(answers, 2);
     CHECK(habits.bearableSeconds("pool", now) == Approx(0.05));
 }
--- a/test/usage-cap-test.cc
+++ b/test/usage-cap-test.cc
@@ -31,7 +31,7 @@
     FleetModel(std::size_t perRegion, double cap, std::uint64_t seed = 1) : m_random(seed)
     {
         customer.name = "customer";
-        customer.cap = UsageCap{true, cap, cap, 200};
+        customer.usageCap = UsageCap{true, cap, cap, 200};
         for (const char *region : {"a", "b", "c"}) {
             for (std::size_t i = 0; i < perRegion; ++i)
                 m_nodes.push_back({region, std::string(region) + std::to_string(i), {}, {}, true});
@@ -82,7 +82,8 @@
                 sum -= m_taken[first++].second;
             worst = std::max(worst, sum);
         }
-        const double limit = windowSeconds * customer.cap->perSecond + customer.cap->burst;
+        const double limit
+            = windowSeconds * customer.usageCap->perSecond + customer.usageCap->burst;
         return worst / (limit * (1 + over) + slack);
     }
 
@@ -320,7 +321,7 @@
     UsageCaps usage;
     Customer customer;
     customer.name = "c";
-    customer.cap = UsageCap{false, 10, 10, 0};
+    customer.usageCap = UsageCap{false, 10, 10, 0};
     usage.setCaps({{customer.name, customer}});
     const TimePoint now{10s};
     CHECK(usage.ask(customer, 1, 0, now).fits);
@@ -346,7 +347,7 @@
     UsageCaps usage;
     Customer customer;
     customer.name = "c";
-    customer.cap = UsageCap{true, largeCap, largeCap, 0};
+    customer.usageCap = UsageCap{true, largeCap, largeCap, 0};
     usage.setCaps({{customer.name, customer}});
     usage.setPlace({"a", {"a"}, 1}, TimePoint{1s});
     for (TimePoint now{1s}; now < TimePoint{20s}; now += tick) {
@@ -355,7 +356,7 @@
     }
     const double before = usage.states(TimePoint{20s}).front().level;
     REQUIRE(before > smallCap);
-    customer.cap = UsageCap{true, smallCap, smallCap, 0};
+    customer.usageCap = UsageCap{true, smallCap, smallCap, 0};
     usage.setCaps({{customer.name, customer}});
     CHECK(usage.states(TimePoint{20s}).front().level <= smallCap);
 }
