--- a/include/ibisnotch/config.h
+++ b/include/ibisnotch/config.h
@@ -225,7 +225,7 @@
                                  std::string_view path);
 
 // How many services may run in each region.
-std::map<std::string, int> servicesAllowed(const FleetConfig &config);
+std::map<std::string, int> countAllowedServices(const FleetConfig &config);
 
 // The pool of a service that a number in [0, 1) falls to; empty for a service without pools.
 std::string selectPool(const Service &service, double uniform);
--- a/src/decide/config.cc
+++ b/src/decide/config.cc
@@ -124,7 +124,7 @@
     return best;
 }
 
-std::map<std::string, int> servicesAllowed(const FleetConfig &config)
+std::map<std::string, int> countAllowedServices(const FleetConfig &config)
 {
     std::map<std::string, int> allowed;
     for (const Region &region : config.regions) {
--- a/test/path-rule-test.cc
+++ b/test/path-rule-test.cc
@@ -58,7 +58,7 @@
     config.regions = {{"a", {}}, {"b", {}}};
     add("free", "h", "/1/");
     add("bound", "h", "/2/").regions = {"b"};
-    CHECK(servicesAllowed(config) == std::map<std::string, int>{{"a", 1}, {"b", 2}});
+    CHECK(countAllowedServices(config) == std::map<std::string, int>{{"a", 1}, {"b", 2}});
 }
 
 TEST_CASE_METHOD(PathRuleFixture, "completeServices_withoutExpectedTime_takesHalfOfTheTarget")
