--- a/test/path-rule-test.cc
+++ b/test/path-rule-test.cc
@@ -28,7 +28,8 @@
 
 } // namespace
 
-TEST_CASE_METHOD(PathRuleFixture, "findByPath_severalPrefixes_takesTheLongestOfTheHost")
+TEST_CASE_METHOD(PathRuleFixture,
+                 "findServiceByPath_severalPrefixes_returnsTheLongestMatchOfTheHost")
 {
     add("short", "a.example", "/x/");
     add("long", "a.example", "/x/y/");
@@ -41,7 +42,7 @@
     CHECK(find("c.example", "/x/1").empty());
 }
 
-TEST_CASE_METHOD(PathRuleFixture, "drawPool_weights_divideTheRange")
+TEST_CASE_METHOD(PathRuleFixture, "selectPool_weights_divideTheRange")
 {
     Service &service = add("s", "a", "/");
     CHECK(selectPool(service, 0.5).empty());
