--- a/include/ibisnotch/config.h
+++ b/include/ibisnotch/config.h
@@ -203,7 +203,7 @@
 // Checks every site, the rules that span sites, and what may not change against the version now in
 // force (null at first). Returns the configuration of each site.
 absl::StatusOr<std::map<std::string, FleetConfig>> validateDocument(const ConfigDocument &document,
-                                                                    const ConfigDocument *inForce);
+                                                                    const ConfigDocument *active);
 
 // The customer whose key this is, or null. Takes as long whether a key is known or not.
 const Customer *findCustomerByKey(const FleetConfig &config, std::string_view key);
--- a/include/ibisnotch/result-code.h
+++ b/include/ibisnotch/result-code.h
@@ -55,7 +55,7 @@
     ResultCode code;
     std::string_view name;
     int httpStatus;
-    RunState run;
+    RunState runState;
     std::string_view advice;
 
     bool operator==(const ResultInfo &) const = default;
--- a/include/ibisnotch/settings.h
+++ b/include/ibisnotch/settings.h
@@ -57,7 +57,7 @@
     int integer(const std::string &key, int fallback, int low, int high);
     bool flag(const std::string &key, bool fallback);
     Duration duration(const std::string &key, Duration fallback);
-    std::vector<std::string> texts(const std::string &key);
+    std::vector<std::string> textList(const std::string &key);
     std::string choice(const std::string &key, const std::string &fallback,
                        const std::vector<std::string> &allowed);
 
@@ -77,7 +77,7 @@
     const SettingNode *m_node;
     std::string m_path;
     std::vector<std::string> *m_errors;
-    std::set<std::string> m_asked;
+    std::set<std::string> m_requestedKeys;
 };
 
 // "250ms", "20s", "5m", "2h".
--- a/src/decide/config-check.cc
+++ b/src/decide/config-check.cc
@@ -77,12 +77,12 @@
 
 // A booking key is found by its shard. If the number of shards changed, an old key would be looked
 // for on another page, found unclaimed there, and its booking would run a second time.
-void checkUnchangeable(const Sites &sites, const ConfigDocument &inForce,
-                       std::vector<std::string> &errors)
+void checkAgainstActive(const Sites &sites, const ConfigDocument &active,
+                        std::vector<std::string> &errors)
 {
-    if (inForce.overlays.empty())
+    if (active.overlays.empty())
         return;
-    const auto old = parseFleetConfig(inForce, inForce.overlays.begin()->first);
+    const auto old = parseFleetConfig(active, active.overlays.begin()->first);
     if (!old.ok())
         return;
     const Limits &now = sites.begin()->second.limits;
@@ -98,7 +98,7 @@
 } // namespace
 
 absl::StatusOr<std::map<std::string, FleetConfig>> validateDocument(const ConfigDocument &document,
-                                                                    const ConfigDocument *inForce)
+                                                                    const ConfigDocument *active)
 {
     Sites sites;
     std::vector<std::string> errors;
@@ -122,8 +122,8 @@
         return makeErrorStatus(errors);
     checkSameRules(sites, errors);
     checkCustomerRules(sites, sites.begin()->second, document.base.name, errors);
-    if (inForce != nullptr)
-        checkUnchangeable(sites, *inForce, errors);
+    if (active != nullptr)
+        checkAgainstActive(sites, *active, errors);
     if (!errors.empty())
         return makeErrorStatus(errors);
     return sites;
--- a/src/decide/config-read.cc
+++ b/src/decide/config-read.cc
@@ -13,7 +13,7 @@
 void readRegions(SettingReader &root, FleetConfig &config)
 {
     for (auto &[name, reader] : root.children("regions")) {
-        config.regions.push_back({name, reader.texts("dataCentres")});
+        config.regions.push_back({name, reader.textList("dataCentres")});
         reader.finish();
     }
     if (config.regions.empty())
@@ -22,7 +22,7 @@
 
 std::vector<std::string> readRegionList(SettingReader &reader, const FleetConfig &config)
 {
-    std::vector<std::string> regions = reader.texts("regions");
+    std::vector<std::string> regions = reader.textList("regions");
     for (const std::string &name : regions) {
         if (!isKnownRegion(config, name))
             reader.fail("regions",
@@ -35,26 +35,26 @@
 
 void readWeights(SettingReader &root, FleetConfig &config)
 {
-    constexpr double highest = 100;
+    constexpr double maxWeight = 100;
     SettingReader reader = root.child("weights");
-    config.weights.tailLatency = reader.number("tailLatency", 1, 0, highest);
-    config.weights.cost = reader.number("cost", 1, 0, highest);
-    config.weights.sentAway = reader.number("sentAway", 1, 0, highest);
+    config.weights.tailLatency = reader.number("tailLatency", 1, 0, maxWeight);
+    config.weights.cost = reader.number("cost", 1, 0, maxWeight);
+    config.weights.sentAway = reader.number("sentAway", 1, 0, maxWeight);
     config.weights.lateIsUndelivered = reader.flag("lateIsUndelivered", false);
     reader.finish();
 }
 
 void readLimits(SettingReader &root, FleetConfig &config)
 {
-    constexpr int largestBody = 8 << 20;
-    constexpr int mostShards = 4096;
+    constexpr int maxBodySize = 8 << 20;
+    constexpr int maxShards = 4096;
     SettingReader reader = root.child("limits");
     Limits &limits = config.limits;
-    limits.maxBodyBytes = reader.integer("maxBodyBytes", limits.maxBodyBytes, 1024, largestBody);
+    limits.maxBodyBytes = reader.integer("maxBodyBytes", limits.maxBodyBytes, 1024, maxBodySize);
     limits.retryShare = reader.number("retryShare", limits.retryShare, 0, 1);
     limits.queueFactor = reader.number("queueFactor", limits.queueFactor, 1, 100);
     limits.awayMargin = reader.duration("awayMargin", limits.awayMargin);
-    limits.bookingShards = reader.integer("bookingShards", limits.bookingShards, 1, mostShards);
+    limits.bookingShards = reader.integer("bookingShards", limits.bookingShards, 1, maxShards);
     limits.bookingKeyLifetime = reader.duration("bookingKeyLife", limits.bookingKeyLifetime);
     limits.weightLoadsPerMinute
         = reader.number("weightLoadsPerMinute", limits.weightLoadsPerMinute, 0.1, 1000);
@@ -69,39 +69,40 @@
 }
 
 // Of one token or of several, so that a customer can change to a new one while the old one holds.
-void readKeys(SettingReader &reader, Customer &customer, std::map<std::string, std::string> &owners)
+void readKeys(SettingReader &reader, Customer &customer,
+              std::map<std::string, std::string> &ownersByHash)
 {
     const std::string single = reader.text("tokenSha256", "");
-    std::vector<std::string> several = reader.texts("tokensSha256");
-    if (single.empty() == several.empty())
+    std::vector<std::string> hashes = reader.textList("tokensSha256");
+    if (single.empty() == hashes.empty())
         reader.fail("tokenSha256", "expected it, or tokensSha256 with at least one hash");
     if (!single.empty())
-        several.push_back(single);
-    for (const std::string &hash : several) {
+        hashes.push_back(single);
+    for (const std::string &hash : hashes) {
         const std::string field = single.empty() ? "tokensSha256" : "tokenSha256";
         if (!isKeyHash(hash))
             reader.fail(field, "expected 64 lower-case hex digits, the SHA-256 of the token");
-        const auto [owner, fresh] = owners.emplace(hash, customer.name);
-        if (!fresh)
+        const auto [owner, inserted] = ownersByHash.emplace(hash, customer.name);
+        if (!inserted)
             reader.fail(field,
                         fmt::format("this token is already one of customer {}; a request "
                                     "with it would be either's",
                                     owner->second));
     }
-    customer.keyHashes = std::move(several);
+    customer.keyHashes = std::move(hashes);
 }
 
 void readUsageCap(SettingReader &reader, Customer &customer)
 {
-    constexpr double most = 1e12;
+    constexpr double maxValue = 1e12;
     if (!reader.has("usageCap"))
         return;
     SettingReader child = reader.child("usageCap");
     UsageCap cap;
     cap.countsTokens = child.choice("unit", "requests", {"requests", "tokens"}) == "tokens";
-    cap.perSecond = child.number("perSecond", 0, 0, most);
-    cap.burst = child.number("burst", cap.perSecond, 0, most);
-    cap.plainTokens = child.number("plainTokens", 0, 0, most);
+    cap.perSecond = child.number("perSecond", 0, 0, maxValue);
+    cap.burst = child.number("burst", cap.perSecond, 0, maxValue);
+    cap.plainTokens = child.number("plainTokens", 0, 0, maxValue);
     if (cap.perSecond <= 0)
         child.fail("perSecond", "above 0 expected; leave usageCap out for no limit");
     if (!cap.countsTokens && cap.plainTokens > 0)
@@ -112,13 +113,13 @@
 
 void readCustomers(SettingReader &root, FleetConfig &config)
 {
-    std::map<std::string, std::string> owners; // of key hashes
+    std::map<std::string, std::string> ownersByHash; // of key hashes
     for (auto &[name, reader] : root.children("customers")) {
         Customer customer;
         customer.name = name;
-        readKeys(reader, customer, owners);
+        readKeys(reader, customer, ownersByHash);
         customer.regions = readRegionList(reader, config);
-        customer.services = reader.texts("services");
+        customer.services = reader.textList("services");
         customer.share = reader.number("share", 1, 0.01, 1000);
         if (reader.has("priority"))
             customer.priority = reader.integer("priority", 0, 0, 9);
@@ -169,7 +170,8 @@
     });
 }
 
-void checkOffered(SettingReader &reader, const FleetConfig &config, const BackendServer &server)
+void checkOfferedServices(SettingReader &reader, const FleetConfig &config,
+                          const BackendServer &server)
 {
     for (const std::string &name : server.services) {
         const auto found = config.services.find(name);
@@ -200,7 +202,7 @@
 
 void readServers(SettingReader &root, FleetConfig &config)
 {
-    std::map<std::uint32_t, std::string> ids;
+    std::map<std::uint32_t, std::string> namesById;
     for (auto &[name, reader] : root.children("backendServers")) {
         BackendServer server;
         server.name = name;
@@ -213,15 +215,15 @@
                                     config.site));
         server.address = reader.requiredText("address");
         server.slots = reader.integer("slots", server.slots, 1, 4096);
-        server.models = reader.texts("models");
-        server.services = reader.texts("services");
+        server.models = reader.textList("models");
+        server.services = reader.textList("services");
         server.cost = reader.number("cost", 1, 0, 1000000);
         server.checksFencing = reader.flag("checksFencing", false);
         readPlacement(reader, server);
-        checkOffered(reader, config, server);
+        checkOfferedServices(reader, config, server);
         reader.finish();
-        const auto [other, fresh] = ids.emplace(serverId(name), name);
-        if (!fresh)
+        const auto [other, inserted] = namesById.emplace(serverId(name), name);
+        if (!inserted)
             reader.fail("address",
                         fmt::format("the name shares its short id with \"{}\"; choose "
                                     "another name",
--- a/src/decide/process-settings.cc
+++ b/src/decide/process-settings.cc
@@ -41,13 +41,13 @@
     return regions;
 }
 
-void readPlatform(SettingReader &reader, ProcessSettings &settings)
+void readPlatformSettings(SettingReader &reader, ProcessSettings &settings)
 {
     const std::string interfaces = reader.choice("interfaces", "own", {"own", "platform"});
     if (interfaces == "own")
         return;
-    constexpr double mostSlack = 1e6;
-    constexpr double mostUsage = 1e12;
+    constexpr double maxSlack = 1e6;
+    constexpr double maxUsageSlack = 1e12;
     settings.interfaces = Interfaces::platform;
     settings.readyAddress = readAddress(reader, "ready");
     settings.directoryAddress = readAddress(reader, "directory");
@@ -56,18 +56,18 @@
     settings.entryListTtl = reader.duration("entryListLife", settings.entryListTtl);
     settings.drainAcceptTime = reader.duration("serveOn", settings.drainAcceptTime);
     SettingReader warmup = reader.child("warmup");
-    settings.warmup.factor = warmup.number("factor", 1, 0, mostSlack);
-    settings.warmup.slack = warmup.number("slack", 0, 0, mostSlack);
+    settings.warmup.factor = warmup.number("factor", 1, 0, maxSlack);
+    settings.warmup.slack = warmup.number("slack", 0, 0, maxSlack);
     warmup.finish();
     // Time for the process to end by itself before it is killed.
-    constexpr Duration endMargin = std::chrono::milliseconds(700);
-    settings.drainTime = reader.duration("killedAfter", settings.drainTime) - endMargin;
+    constexpr Duration exitMargin = std::chrono::milliseconds(700);
+    settings.drainTime = reader.duration("killedAfter", settings.drainTime) - exitMargin;
     SettingReader retries = reader.child("retries");
     settings.retryShare = retries.number("share", settings.retryShare, 0, 1);
-    settings.retrySlack = retries.number("slack", settings.retrySlack, 0, mostSlack);
+    settings.retrySlack = retries.number("slack", settings.retrySlack, 0, maxSlack);
     retries.finish();
     SettingReader usage = reader.child("usage");
-    settings.usageSlack = usage.number("slack", 0, 0, mostUsage);
+    settings.usageSlack = usage.number("slack", 0, 0, maxUsageSlack);
     usage.finish();
 }
 
@@ -75,11 +75,11 @@
 
 absl::StatusOr<Address> parseAddress(const std::string &text)
 {
-    constexpr int highestPort = 65535;
+    constexpr int maxPort = 65535;
     const std::size_t colon = text.rfind(':');
     int port = 0;
     const bool ok = colon != std::string::npos && colon > 0
-        && absl::SimpleAtoi(text.substr(colon + 1), &port) && port > 0 && port <= highestPort;
+        && absl::SimpleAtoi(text.substr(colon + 1), &port) && port > 0 && port <= maxPort;
     if (!ok)
         return absl::InvalidArgumentError(
             fmt::format("expected IP:port such as 127.0.0.1:8001, found \"{}\"", text));
@@ -88,8 +88,8 @@
 
 absl::StatusOr<ProcessSettings> parseProcessSettings(std::string_view text, const std::string &file)
 {
-    constexpr int mostWorkers = 64;
-    constexpr int mostConnections = 1000000;
+    constexpr int maxWorkers = 64;
+    constexpr int maxConnectionLimit = 1000000;
     const auto tree = parseSettings(text, file);
     if (!tree.ok())
         return tree.status();
@@ -105,13 +105,13 @@
     settings.peerAddress = readAddress(reader, "peers");
     settings.gossipAddress = readAddress(reader, "gossip");
     settings.storeAddress = readAddress(reader, "store").text();
-    settings.seeds = reader.texts("seeds");
-    settings.workers = reader.integer("workers", settings.workers, 1, mostWorkers);
+    settings.seeds = reader.textList("seeds");
+    settings.workers = reader.integer("workers", settings.workers, 1, maxWorkers);
     settings.maxConnections
-        = reader.integer("maxConnections", settings.maxConnections, 1, mostConnections);
+        = reader.integer("maxConnections", settings.maxConnections, 1, maxConnectionLimit);
     settings.idleTimeout = reader.duration("idleTimeout", settings.idleTimeout);
     settings.drainTime = reader.duration("drainTime", settings.drainTime);
-    readPlatform(reader, settings);
+    readPlatformSettings(reader, settings);
     settings.logLevel = reader.choice("logLevel", "info", {"debug", "info", "warn", "error"});
     reader.finish();
     if (!errors.empty())
--- a/src/decide/settings.cc
+++ b/src/decide/settings.cc
@@ -138,7 +138,7 @@
 
 const SettingNode *SettingReader::find(const std::string &key)
 {
-    m_asked.insert(key);
+    m_requestedKeys.insert(key);
     const auto found = m_node->map.find(key);
     return found == m_node->map.end() ? nullptr : &found->second;
 }
@@ -213,7 +213,7 @@
     return *value;
 }
 
-std::vector<std::string> SettingReader::texts(const std::string &key)
+std::vector<std::string> SettingReader::textList(const std::string &key)
 {
     std::vector<std::string> result;
     const SettingNode *node = find(key);
@@ -263,9 +263,9 @@
 
 void SettingReader::finish()
 {
-    const std::string known = absl::StrJoin(m_asked, ", ");
+    const std::string known = absl::StrJoin(m_requestedKeys, ", ");
     for (const auto &[key, value] : m_node->map) {
-        if (m_asked.count(key) == 0)
+        if (m_requestedKeys.count(key) == 0)
             fail(key, "unknown key; known here: " + known);
     }
 }
--- a/src/entry/dispatch-end.cc
+++ b/src/entry/dispatch-end.cc
@@ -18,7 +18,7 @@
     if (!cleared.empty())
         m_control.shareMarks(std::move(cleared));
     const ResultCode code = attempt.reader().code();
-    const RunState run = resultInfo(code).run;
+    const RunState run = resultInfo(code).runState;
     // A peer's refusal is true of its own part; an earlier attempt here may have run.
     if (run == RunState::notRun && m_mayHaveRun) {
         settleUnknown();
@@ -81,7 +81,7 @@
     Refusal refusal = wanted;
     // An earlier attempt of this request may have run. A later refusal, true of the last attempt
     // alone, would tell the caller that nothing happened at all.
-    if (m_mayHaveRun && resultInfo(refusal.code).run == RunState::notRun)
+    if (m_mayHaveRun && resultInfo(refusal.code).runState == RunState::notRun)
         refusal.code = m_exchange->service->idempotent ? ResultCode::backendFailed
                                                        : ResultCode::outcomeUnknown;
     // The head of a stream is out, so no other answer can follow on this connection.
@@ -89,8 +89,9 @@
         trace("stream cut: " + std::string(resultInfo(refusal.code).name));
         m_exchange->responder->abort();
         settleUnknown();
-        return finish(resultInfo(refusal.code).run == RunState::notRun ? ResultCode::answerCutShort
-                                                                       : refusal.code);
+        return finish(resultInfo(refusal.code).runState == RunState::notRun
+                          ? ResultCode::answerCutShort
+                          : refusal.code);
     }
     // A server's own failure tells the caller more than that there is no better answer.
     if (m_failure) {
@@ -110,7 +111,7 @@
         m_state.admission.onOver(exchange.customer->name, exchange.service->name);
     m_admitted = false;
     // What did not run is no use of the customer's.
-    const bool ran = m_attempts > 0 && resultInfo(code).run != RunState::notRun;
+    const bool ran = m_attempts > 0 && resultInfo(code).runState != RunState::notRun;
     if (exchange.counted > 0 && !ran)
         m_state.usage.giveBack(exchange.customer->name, exchange.counted, now);
     RequestRecord record;
@@ -124,13 +125,13 @@
     record.forwarded = exchange.fromPeer;
     record.cost = m_cost;
     const bool inTime = now <= exchange.deadline;
-    const bool good = resultInfo(code).run == RunState::run && inTime;
+    const bool good = resultInfo(code).runState == RunState::run && inTime;
     record.worthDelivered = good ? exchange.service->worth : 0;
     m_state.metrics.onRequest(record);
     // A caller's own faults do not spend the service's error budget.
     constexpr int firstSystemCode = 3000;
     const bool callersFault
-        = static_cast<int>(code) < firstSystemCode && resultInfo(code).run == RunState::notRun;
+        = static_cast<int>(code) < firstSystemCode && resultInfo(code).runState == RunState::notRun;
     if (!callersFault && !exchange.fromPeer)
         m_state.burn.count(record.service, record.customer, !good, m_state.clock.wallNow());
     m_exchange->trace.resultCode = static_cast<int>(code);
--- a/src/entry/exchange.cc
+++ b/src/entry/exchange.cc
@@ -18,7 +18,7 @@
     Headers headers;
     headers.add(std::string(requestIdHeader), requestId);
     headers.add("X-Result-Code", std::to_string(static_cast<int>(code)));
-    headers.add("X-Run-State", std::string(runStateName(resultInfo(code).run)));
+    headers.add("X-Run-State", std::string(runStateName(resultInfo(code).runState)));
     headers.add("X-Served-By", servedBy);
     return headers;
 }
@@ -31,7 +31,7 @@
         = std::chrono::duration_cast<std::chrono::milliseconds>(refusal.retryAfter).count();
     nlohmann::json error{{"code", static_cast<int>(refusal.code)},
                          {"type", info.name},
-                         {"run", runStateName(info.run)},
+                         {"run", runStateName(info.runState)},
                          {"message", info.advice},
                          {"request_id", requestId}};
     if (!refusal.detail.empty())
--- a/src/ibisnotchctl.cc
+++ b/src/ibisnotchctl.cc
@@ -335,7 +335,7 @@
     {
         for (const ResultInfo &info : resultTable())
             fmt::print("| {} | {} | {} | {} | {} |\n", static_cast<int>(info.code), info.name,
-                       info.httpStatus, runStateName(info.run), info.advice);
+                       info.httpStatus, runStateName(info.runState), info.advice);
         return exitOk;
     }
 
--- a/test/config-fixture.h
+++ b/test/config-fixture.h
@@ -42,7 +42,7 @@
             + "1, address: \"127.0.0.1:2\", slots: 4, services: [order]}\n";
     }
 
-    ConfigDocument version(std::uint64_t number) const
+    ConfigDocument withVersion(std::uint64_t number) const
     {
         ConfigDocument copy = document;
         copy.version = number;
--- a/test/config-gate-test.cc
+++ b/test/config-gate-test.cc
@@ -17,7 +17,7 @@
         std::uint64_t highest = 0;
         for (int i = 0; i < 20; ++i) {
             const auto number = *rc::gen::inRange<std::uint64_t>(1, 10);
-            const OfferAnswer answer = gate.offer(version(number));
+            const OfferAnswer answer = gate.offer(withVersion(number));
             RC_ASSERT((answer == OfferAnswer::accepted) == (number > highest));
             highest = std::max(highest, number);
             RC_ASSERT(gate.version() == highest);
@@ -29,8 +29,8 @@
 TEST_CASE_METHOD(ConfigFixture, "configGate_invalidDocument_keepsWhatIsInForce")
 {
     ConfigGate gate("a");
-    gate.offer(version(3));
-    ConfigDocument broken = version(4);
+    gate.offer(withVersion(3));
+    ConfigDocument broken = withVersion(4);
     broken.base.text += "nonsense: 1\n";
     CHECK(gate.offer(broken) == OfferAnswer::invalid);
     CHECK(gate.version() == 3);
@@ -43,8 +43,8 @@
 TEST_CASE_METHOD(ConfigFixture, "configDelta_fromAnyVersion_givesTheSameDocument")
 {
     rc::prop("apply(make(from, to)) == to", [this] {
-        ConfigDocument from = version(*rc::gen::inRange<std::uint64_t>(1, 5));
-        ConfigDocument to = version(*rc::gen::inRange<std::uint64_t>(5, 9));
+        ConfigDocument from = withVersion(*rc::gen::inRange<std::uint64_t>(1, 5));
+        ConfigDocument to = withVersion(*rc::gen::inRange<std::uint64_t>(5, 9));
         if (*rc::gen::arbitrary<bool>())
             to.base.text += "# other\n";
         if (*rc::gen::arbitrary<bool>())
@@ -63,9 +63,9 @@
 
 TEST_CASE_METHOD(ConfigFixture, "applyDelta_onAnotherVersion_isRefused")
 {
-    const ConfigDocument two = version(2);
-    const ConfigDocument three = version(3);
-    const ConfigDelta delta = makeDelta(&two, version(4));
+    const ConfigDocument two = withVersion(2);
+    const ConfigDocument three = withVersion(3);
+    const ConfigDelta delta = makeDelta(&two, withVersion(4));
     CHECK_FALSE(applyDelta(&three, delta).ok());
     ConfigDelta damaged = delta;
     damaged.note = "changed on the way";
@@ -74,8 +74,8 @@
 
 TEST_CASE_METHOD(ConfigFixture, "makeDelta_ofOneOverlay_leavesTheBaseOut")
 {
-    const ConfigDocument two = version(2);
-    const ConfigDelta delta = makeDelta(&two, version(3));
+    const ConfigDocument two = withVersion(2);
+    const ConfigDelta delta = makeDelta(&two, withVersion(3));
     CHECK_FALSE(delta.baseChanged);
     CHECK(delta.base == FileDelta{});
     REQUIRE(delta.changedOverlays.size() == 1);
--- a/test/docs-test.cc
+++ b/test/docs-test.cc
@@ -81,7 +81,7 @@
     for (const ResultInfo &info : resultTable()) {
         const std::string row
             = fmt::format("| {} | {} | {} | {} | {} |", static_cast<int>(info.code), info.name,
-                          info.httpStatus, runStateName(info.run), info.advice);
+                          info.httpStatus, runStateName(info.runState), info.advice);
         INFO(row);
         CHECK(text.find(row) != std::string::npos);
     }
--- a/test/result-code-test.cc
+++ b/test/result-code-test.cc
@@ -25,8 +25,8 @@
     for (const ResultInfo &info : resultTable()) {
         const int number = static_cast<int>(info.code);
         if (number >= 2000 && number < 4000)
-            CHECK(info.run == RunState::notRun);
+            CHECK(info.runState == RunState::notRun);
         if (number >= 4000)
-            CHECK(info.run == RunState::unknown);
+            CHECK(info.runState == RunState::unknown);
     }
 }
--- a/test/retry-test.cc
+++ b/test/retry-test.cc
@@ -52,7 +52,7 @@
         for (const bool idempotent : {false, true}) {
             for (const bool late : {false, true}) {
                 const bool saysNotRun
-                    = resultInfo(finalCode(end, idempotent, late)).run == RunState::notRun;
+                    = resultInfo(finalCode(end, idempotent, late)).runState == RunState::notRun;
                 CHECK(saysNotRun == certainlyNotRun(end));
             }
         }
--- a/test/settings-test.cc
+++ b/test/settings-test.cc
@@ -42,7 +42,7 @@
     CHECK(reader.integer("n", 4, 0, 9) == 4);
     CHECK(reader.duration("d", 2s) == Duration(2s));
     CHECK_FALSE(reader.flag("f", false));
-    CHECK(reader.texts("l").empty());
+    CHECK(reader.textList("l").empty());
     CHECK(reader.children("m").empty());
     CHECK(reader.number("absent", 1.5, 0, 9) == 1.5);
     reader.finish();
