--- a/src/entry/claim-desk.cc
+++ b/src/entry/claim-service.cc
@@ -1,4 +1,4 @@
-#include "claim-desk.h"
+#include "claim-service.h"
 
 #include <future>
 
@@ -26,23 +26,23 @@
 
 } // namespace
 
-ClaimDesk::ClaimDesk(HttpClient &client, Store &store, const Clock &clock)
+ClaimService::ClaimService(HttpClient &client, Store &store, const Clock &clock)
     : m_client(client), m_store(store), m_clock(clock)
 {
 }
 
-void ClaimDesk::claim(Order order, std::function<void(const ClaimResult &)> done)
+void ClaimService::claim(PageClaim pageClaim, std::function<void(const ClaimResult &)> done)
 {
-    m_client.post([this, order = std::move(order), done = std::move(done)]() mutable {
-        Page &page = m_pages[order.page];
-        page.waiting[order.request.attempt] = std::move(done);
-        page.writer.claim(std::move(order.request));
-        advance(order.page);
+    m_client.post([this, pageClaim = std::move(pageClaim), done = std::move(done)]() mutable {
+        Page &page = m_pages[pageClaim.page];
+        page.waiting[pageClaim.request.attempt] = std::move(done);
+        page.writer.claim(std::move(pageClaim.request));
+        advance(pageClaim.page);
     });
 }
 
-void ClaimDesk::settle(const std::string &page, std::uint64_t attempt, const std::string &claimId,
-                       ClaimState state, int httpStatus)
+void ClaimService::settle(const std::string &page, std::uint64_t attempt,
+                          const std::string &claimId, ClaimState state, int httpStatus)
 {
     m_client.post([this, page, attempt, claimId, state, httpStatus] {
         m_pages[page].writer.settle(attempt, claimId, state, httpStatus);
@@ -50,43 +50,43 @@
     });
 }
 
-bool ClaimDesk::busy()
+bool ClaimService::hasPendingOutcomes()
 {
     std::promise<bool> answer;
     m_client.post([this, &answer] { answer.set_value(!m_pages.empty()); });
     return answer.get_future().get();
 }
 
-void ClaimDesk::advance(const std::string &name)
+void ClaimService::advance(const std::string &name)
 {
     const auto found = m_pages.find(name);
     if (found == m_pages.end())
         return;
     for (const ClaimAction &action : found->second.writer.advance(m_clock.now()))
-        act(name, action);
-    keepTicking(name);
+        execute(name, action);
+    scheduleTick(name);
 }
 
-void ClaimDesk::keepTicking(const std::string &name)
+void ClaimService::scheduleTick(const std::string &name)
 {
     const auto found = m_pages.find(name);
-    if (found == m_pages.end() || found->second.ticking)
+    if (found == m_pages.end() || found->second.tickScheduled)
         return;
     if (found->second.writer.idle() && found->second.waiting.empty()) {
         m_pages.erase(found);
         return;
     }
-    found->second.ticking = true;
+    found->second.tickScheduled = true;
     m_client.postAfter(tickPeriod, [this, name] {
         const auto page = m_pages.find(name);
         if (page == m_pages.end())
             return;
-        page->second.ticking = false;
+        page->second.tickScheduled = false;
         advance(name);
     });
 }
 
-void ClaimDesk::act(const std::string &name, const ClaimAction &action)
+void ClaimService::execute(const std::string &name, const ClaimAction &action)
 {
     if (const auto *reading = std::get_if<ReadPage>(&action))
         return read(name, reading->call);
@@ -102,7 +102,7 @@
     done(result);
 }
 
-void ClaimDesk::read(const std::string &name, std::uint64_t call)
+void ClaimService::read(const std::string &name, std::uint64_t call)
 {
     m_store.read(name, [this, name, call](const StoreRead &read) {
         ClaimPageWriter &writer = m_pages[name].writer;
@@ -119,7 +119,7 @@
     });
 }
 
-void ClaimDesk::write(const std::string &name, const WritePage &action)
+void ClaimService::write(const std::string &name, const WritePage &action)
 {
     m_store.compareAndSet(name, action.expectedIndex, action.value,
                           [this, name, call = action.call](const StoreWrite &write) {
--- a/src/entry/claim-desk.h
+++ b/src/entry/claim-service.h
@@ -14,38 +14,38 @@
 namespace ibisnotch {
 
 // Everything happens on the loop of one HTTP client.
-class ClaimDesk
+class ClaimService
 {
 public:
-    ClaimDesk(HttpClient &client, Store &store, const Clock &clock);
+    ClaimService(HttpClient &client, Store &store, const Clock &clock);
 
-    struct Order
+    struct PageClaim
     {
         std::string page;
         ClaimPageWriter::Request request;
     };
 
     // Called back on the desk's loop.
-    void claim(Order order, std::function<void(const ClaimResult &)> done);
+    void claim(PageClaim pageClaim, std::function<void(const ClaimResult &)> done);
     void settle(const std::string &page, std::uint64_t attempt, const std::string &claimId,
                 ClaimState state, int httpStatus);
 
     // Whether outcomes are still to be written; blocks until the loop has looked.
-    bool busy();
+    bool hasPendingOutcomes();
 
 private:
     struct Page
     {
         ClaimPageWriter writer;
         std::map<std::uint64_t, std::function<void(const ClaimResult &)>> waiting;
-        bool ticking = false;
+        bool tickScheduled = false;
     };
 
     void advance(const std::string &name);
-    void act(const std::string &name, const ClaimAction &action);
+    void execute(const std::string &name, const ClaimAction &action);
     void read(const std::string &name, std::uint64_t call);
     void write(const std::string &name, const WritePage &action);
-    void keepTicking(const std::string &name);
+    void scheduleTick(const std::string &name);
 
     HttpClient &m_client;
     Store &m_store;
--- a/src/entry/dispatch-booking.cc
+++ b/src/entry/dispatch-booking.cc
@@ -82,13 +82,14 @@
     m_claimId = claimId(m_exchange->customer->name, key.text);
     m_claimPage = claimPageName(key, m_claimId, m_exchange->config().limits.bookingShards);
     m_claimAttempt = m_state.random.next();
-    ClaimDesk::Order order;
-    order.page = m_claimPage;
-    order.request = {m_claimAttempt, m_claimId, m_exchange->bodyHash,
-                     m_state.clock.now() + std::min(claimTime, remaining())};
-    m_desk->claim(std::move(order), [self = shared_from_this()](const ClaimResult &result) {
-        self->m_client.post([self, result] { self->onClaim(result); });
-    });
+    ClaimService::PageClaim pageClaim;
+    pageClaim.page = m_claimPage;
+    pageClaim.request = {m_claimAttempt, m_claimId, m_exchange->bodyHash,
+                         m_state.clock.now() + std::min(claimTime, remaining())};
+    m_claimService->claim(std::move(pageClaim),
+                          [self = shared_from_this()](const ClaimResult &result) {
+                              self->m_client.post([self, result] { self->onClaim(result); });
+                          });
 }
 
 void Dispatch::onClaim(const ClaimResult &result)
@@ -126,7 +127,7 @@
 void Dispatch::settleDone(int status, const std::string &answer)
 {
     if (m_right == Right::claim)
-        m_desk->settle(m_claimPage, m_claimAttempt, m_claimId, ClaimState::done, status);
+        m_claimService->settle(m_claimPage, m_claimAttempt, m_claimId, ClaimState::done, status);
     if (m_right == Right::issuedKey) {
         const std::lock_guard lock(m_state.keysMutex);
         m_state.issuedKeys.finishDone(m_exchange->bookingKeyText, status, answer);
@@ -137,7 +138,7 @@
 void Dispatch::settleNotRun()
 {
     if (m_right == Right::claim)
-        m_desk->settle(m_claimPage, m_claimAttempt, m_claimId, ClaimState::notRun, 0);
+        m_claimService->settle(m_claimPage, m_claimAttempt, m_claimId, ClaimState::notRun, 0);
     if (m_right == Right::issuedKey) {
         const std::lock_guard lock(m_state.keysMutex);
         m_state.issuedKeys.finishNotRun(m_exchange->bookingKeyText);
--- a/src/entry/dispatch.cc
+++ b/src/entry/dispatch.cc
@@ -37,7 +37,7 @@
 
 Dispatch::Dispatch(DispatchServices services, ExchangePtr exchange, HttpClient &client)
     : m_state(services.state), m_control(services.control), m_protocol(services.protocol),
-      m_desk(services.desk), m_exchange(std::move(exchange)), m_client(client),
+      m_claimService(services.claimService), m_exchange(std::move(exchange)), m_client(client),
       m_draw(services.state.random.uniform())
 {
 }
--- a/src/entry/dispatch.h
+++ b/src/entry/dispatch.h
@@ -7,7 +7,7 @@
 #include <set>
 #include <string>
 
-#include "claim-desk.h"
+#include "claim-service.h"
 #include "control.h"
 #include "exchange.h"
 #include "ibisnotch/http-client.h"
@@ -22,7 +22,7 @@
     EntryState &state;
     Control &control;
     const Protocol &protocol;
-    ClaimDesk *desk = nullptr; // null where the protocol knows no booking keys
+    ClaimService *claimService = nullptr; // null where the protocol knows no booking keys
 };
 
 // What the last choice of a target went by, for the line that is logged when the request is over.
@@ -139,7 +139,7 @@
     EntryState &m_state;
     Control &m_control;
     const Protocol &m_protocol;
-    ClaimDesk *m_desk;
+    ClaimService *m_claimService;
     ExchangePtr m_exchange;
     HttpClient &m_client;
 
--- a/src/entry/instance.cc
+++ b/src/entry/instance.cc
@@ -39,19 +39,19 @@
     for (int i = 0; i < settings.workers; ++i)
         m_clients.push_back(std::make_unique<HttpClient>());
     m_controlClient = std::make_unique<HttpClient>();
-    m_desk = m_interfaces->claimDesk(m_state, *m_controlClient);
+    m_claimService = m_interfaces->claimService(m_state, *m_controlClient);
     m_control = std::make_unique<Control>(m_state, *m_protocol, *m_controlClient);
-    m_control->setSource(m_interfaces->source(m_state, *m_control, *m_controlClient));
+    m_control->setSource(m_interfaces->stateSource(m_state, *m_control, *m_controlClient));
     std::vector<HttpClient *> clients;
     for (const auto &client : m_clients)
         clients.push_back(client.get());
-    const DispatchServices services{m_state, *m_control, *m_protocol, m_desk.get()};
+    const DispatchServices services{m_state, *m_control, *m_protocol, m_claimService.get()};
     m_callerPages = m_interfaces->pages(services, false);
     m_peerPages = m_interfaces->pages(services, true);
     m_callerGateway = std::make_unique<Gateway>(services, clients, *m_callerPages, false);
     m_peerGateway = std::make_unique<Gateway>(services, clients, *m_peerPages, true);
     m_control->start();
-    m_placement = m_interfaces->placementDesk(m_state, *m_controlClient);
+    m_placement = m_interfaces->placementController(m_state, *m_controlClient);
     m_loop = std::make_unique<HttpLoop>(static_cast<unsigned>(settings.workers));
     listen(settings.peerAddress, *m_peerGateway);
     for (PagePort &port : m_interfaces->pagePorts(services)) {
@@ -70,7 +70,7 @@
     m_control->stop();
     m_clients.clear();
     m_controlClient.reset();
-    m_desk.reset();
+    m_claimService.reset();
 }
 
 void Instance::listen(const Address &address, RequestHandler &handler)
@@ -99,7 +99,7 @@
 
 bool Instance::busy()
 {
-    return m_state.inFlight > 0 || (m_desk && m_desk->busy());
+    return m_state.inFlight > 0 || (m_claimService && m_claimService->hasPendingOutcomes());
 }
 
 bool Instance::drain()
--- a/src/entry/instance.h
+++ b/src/entry/instance.h
@@ -4,12 +4,12 @@
 #include <memory>
 #include <vector>
 
-#include "claim-desk.h"
+#include "claim-service.h"
 #include "control.h"
 #include "gateway.h"
 #include "ibisnotch/http-server.h"
 #include "interfaces.h"
-#include "placement-desk.h"
+#include "placement-controller.h"
 #include "state.h"
 
 namespace ibisnotch {
@@ -40,9 +40,9 @@
     std::unique_ptr<Protocol> m_protocol;
     std::vector<std::unique_ptr<HttpClient>> m_clients;
     std::unique_ptr<HttpClient> m_controlClient;
-    std::unique_ptr<ClaimDesk> m_desk;
+    std::unique_ptr<ClaimService> m_claimService;
     std::unique_ptr<Control> m_control;
-    std::unique_ptr<PlacementDesk> m_placement;
+    std::unique_ptr<PlacementController> m_placement;
     std::unique_ptr<PageHandler> m_callerPages;
     std::unique_ptr<PageHandler> m_peerPages;
     std::unique_ptr<Gateway> m_callerGateway;
--- a/src/entry/placement-desk.cc
+++ b/src/entry/placement-controller.cc
@@ -1,4 +1,4 @@
-#include "placement-desk.h"
+#include "placement-controller.h"
 
 #include <algorithm>
 
@@ -12,7 +12,7 @@
 namespace {
 
 constexpr Duration tickPeriod = std::chrono::seconds(2);
-constexpr Duration leaseLife = std::chrono::seconds(15);
+constexpr Duration leaseDuration = std::chrono::seconds(15);
 
 PlacementPlanner::Limits plannerLimits(const EntryState &state)
 {
@@ -26,27 +26,27 @@
 
 } // namespace
 
-PlacementDesk::PlacementDesk(EntryState &state, HttpClient &client, Store &store)
+PlacementController::PlacementController(EntryState &state, HttpClient &client, Store &store)
     : m_state(state), m_client(client), m_store(store), m_planner(plannerLimits(state))
 {
 }
 
-std::string PlacementDesk::holderKey() const
+std::string PlacementController::holderKey() const
 {
     return "ibisnotch/placement/" + m_state.settings.region + "/holder";
 }
 
-std::string PlacementDesk::fenceKey() const
+std::string PlacementController::fenceKey() const
 {
     return "ibisnotch/placement/" + m_state.settings.region + "/fence";
 }
 
-void PlacementDesk::start()
+void PlacementController::start()
 {
     m_client.postAfter(tickPeriod, [this] { tick(); });
 }
 
-bool PlacementDesk::needed() const
+bool PlacementController::isResponsible() const
 {
     const auto config = m_state.gate.config();
     if (!config || m_state.stopping)
@@ -63,90 +63,91 @@
                        [](const auto &entry) { return entry.second.placement.has_value(); });
 }
 
-void PlacementDesk::tick()
+void PlacementController::tick()
 {
     m_client.postAfter(tickPeriod, [this] { tick(); });
-    if (!needed()) {
+    if (!isResponsible()) {
         m_lease = {};
         return;
     }
-    if (m_busy)
+    if (m_acquiring)
         return;
     if (m_lease.fence == 0 || m_lease.until <= m_state.clock.now())
-        return takeLease();
-    renew();
-    observe();
-    giveOrders();
+        return acquireLease();
+    renewLease();
+    queryPlacements();
+    sendOrders();
 }
 
-void PlacementDesk::giveUp()
+void PlacementController::abandonLease()
 {
-    m_busy = false;
+    m_acquiring = false;
     m_lease = {};
 }
 
-void PlacementDesk::takeLease()
+void PlacementController::acquireLease()
 {
-    m_busy = true;
+    m_acquiring = true;
     m_lease = {};
     // Counted from before the call: the store's own count starts later, so ours ends first.
-    const TimePoint asked = m_state.clock.now();
-    m_store.grantLease(leaseLife, [this, asked](const StoreLease &lease) {
+    const TimePoint requestedAt = m_state.clock.now();
+    m_store.grantLease(leaseDuration, [this, requestedAt](const StoreLease &lease) {
         if (lease.end != StoreEnd::ok)
-            return giveUp();
-        onLease(lease.id, asked);
+            return abandonLease();
+        onLease(lease.id, requestedAt);
     });
 }
 
-void PlacementDesk::onLease(const std::string &id, TimePoint asked)
+void PlacementController::onLease(const std::string &id, TimePoint requestedAt)
 {
     m_session = id;
-    m_store.acquire(holderKey(), id, m_state.settings.name, [this, asked](const StoreWrite &write) {
-        if (write.end != StoreEnd::ok)
-            return giveUp();
-        raiseFence(asked);
-    });
+    m_store.acquire(holderKey(), id, m_state.settings.name,
+                    [this, requestedAt](const StoreWrite &write) {
+                        if (write.end != StoreEnd::ok)
+                            return abandonLease();
+                        readFence(requestedAt);
+                    });
 }
 
-void PlacementDesk::raiseFence(TimePoint asked)
+void PlacementController::readFence(TimePoint requestedAt)
 {
-    m_store.read(fenceKey(), [this, asked](const StoreRead &read) {
+    m_store.read(fenceKey(), [this, requestedAt](const StoreRead &read) {
         if (read.end != StoreEnd::ok && read.end != StoreEnd::notFound)
-            return giveUp();
-        onFence(read, asked);
+            return abandonLease();
+        incrementFence(read, requestedAt);
     });
 }
 
-void PlacementDesk::onFence(const StoreRead &read, TimePoint asked)
+void PlacementController::incrementFence(const StoreRead &read, TimePoint requestedAt)
 {
     std::uint64_t last = 0;
     (void)absl::SimpleAtoi(read.value, &last);
     m_store.compareAndSet(fenceKey(), read.index, std::to_string(last + 1),
-                          [this, last, asked](const StoreWrite &write) {
+                          [this, last, requestedAt](const StoreWrite &write) {
                               // After a lost answer the number may be taken; the next try takes the
                               // one after it.
                               if (write.end != StoreEnd::ok)
-                                  return giveUp();
-                              m_busy = false;
-                              m_lease = {last + 1, asked + leaseLife};
+                                  return abandonLease();
+                              m_acquiring = false;
+                              m_lease = {last + 1, requestedAt + leaseDuration};
                               logLine(LogPart::control, LogLevel::info,
                                       "Holds the placement lease.",
                                       {{"fence", std::to_string(last + 1)}});
                           });
 }
 
-void PlacementDesk::renew()
+void PlacementController::renewLease()
 {
-    const TimePoint asked = m_state.clock.now();
-    m_store.renewLease(m_session, [this, asked](const StoreLease &lease) {
+    const TimePoint requestedAt = m_state.clock.now();
+    m_store.renewLease(m_session, [this, requestedAt](const StoreLease &lease) {
         if (lease.end == StoreEnd::ok && m_lease.fence != 0)
-            m_lease.until = asked + leaseLife;
+            m_lease.until = requestedAt + leaseDuration;
         if (lease.end == StoreEnd::notFound)
             m_lease = {};
     });
 }
 
-void PlacementDesk::observe()
+void PlacementController::queryPlacements()
 {
     const auto config = m_state.gate.config();
     for (const auto &[name, server] : config->servers) {
@@ -160,7 +161,7 @@
     }
 }
 
-void PlacementDesk::onObserved(const std::string &server, const WholeAnswer &answer)
+void PlacementController::onObserved(const std::string &server, const WholeAnswer &answer)
 {
     const auto body = nlohmann::json::parse(answer.response.body, nullptr, false);
     const nlohmann::json::json_pointer first("/data/0");
@@ -176,7 +177,7 @@
     m_observed[server] = observed;
 }
 
-void PlacementDesk::giveOrders()
+void PlacementController::sendOrders()
 {
     const auto config = m_state.gate.config();
     PlacementQuestion question;
@@ -189,7 +190,7 @@
         send(order);
 }
 
-void PlacementDesk::send(const PlacementOrder &order)
+void PlacementController::send(const PlacementOrder &order)
 {
     const auto config = m_state.gate.config();
     const auto server = config->servers.find(order.server);
--- a/src/entry/placement-desk.h
+++ b/src/entry/placement-controller.h
@@ -12,25 +12,25 @@
 namespace ibisnotch {
 
 // Everything happens on the loop of one HTTP client. Silent where no engine has a placement.
-class PlacementDesk
+class PlacementController
 {
 public:
-    PlacementDesk(EntryState &state, HttpClient &client, Store &store);
+    PlacementController(EntryState &state, HttpClient &client, Store &store);
 
     void start();
 
 private:
     void tick();
-    bool needed() const;
-    void takeLease();
-    void onLease(const std::string &id, TimePoint asked);
-    void raiseFence(TimePoint asked);
-    void onFence(const StoreRead &read, TimePoint asked);
-    void renew();
-    void giveUp();
-    void observe();
+    bool isResponsible() const;
+    void acquireLease();
+    void onLease(const std::string &id, TimePoint requestedAt);
+    void readFence(TimePoint requestedAt);
+    void incrementFence(const StoreRead &read, TimePoint requestedAt);
+    void renewLease();
+    void abandonLease();
+    void queryPlacements();
     void onObserved(const std::string &server, const WholeAnswer &answer);
-    void giveOrders();
+    void sendOrders();
     void send(const PlacementOrder &order);
 
     std::string holderKey() const;
@@ -42,7 +42,7 @@
     PlacementPlanner m_planner;
     PlacementLease m_lease;
     std::string m_session;
-    bool m_busy = false;
+    bool m_acquiring = false;
     std::map<std::string, ObservedPlacement> m_observed;
 };
 
--- a/src/ibisnotch-entry.cc
+++ b/src/ibisnotch-entry.cc
@@ -22,7 +22,7 @@
 {
     if (settings.interfaces == Interfaces::platform)
         return platform::makeInterfaces(settings);
-    return makeOwnInterfaces(settings);
+    return makeBuiltInInterfaces(settings);
 }
 
 std::string settingsPath(int argc, const char **argv)
