--- a/src/entry/cold-watch.cc
+++ b/src/entry/cold-server-monitor.cc
@@ -1,4 +1,4 @@
-#include "cold-watch.h"
+#include "cold-server-monitor.h"
 
 #include "ibisnotch/log.h"
 #include "ibisnotch/warmup.h"
@@ -9,12 +9,12 @@
 
 // A server that has answered is asked again with the next tick: in a burst a warm server gets
 // within a quarter of a second what a cold one bears in a whole one.
-constexpr Duration givenUpAfter = std::chrono::milliseconds(500);
+constexpr Duration checkTimeout = std::chrono::milliseconds(500);
 
 } // namespace
 
 std::vector<ColdCheck>
-ColdWatch::dueForCheck(const std::function<bool(const ServerView &)> &watches)
+ColdServerMonitor::dueForHealthCheck(const std::function<bool(const ServerView &)> &isResponsible)
 {
     std::vector<ColdCheck> due;
     const TimePoint now = m_state.clock.now();
@@ -30,25 +30,26 @@
             continue;
         const auto share = possiblyColdShare(*table, m_state.settings.warmup, m_state.settings.name,
                                              view.server);
-        const bool wants = share && *share > 0 && needsStatusCheck(*view.counters, *since);
+        const bool mayBeSentTo = share && *share > 0 && needsStatusCheck(*view.counters, *since);
         TimePoint &next = nextCheck[view.server.name];
         next = m_nextCheck[view.server.name];
-        if (now < next || !(wants || watches(view)))
+        if (now < next || !(mayBeSentTo || isResponsible(view)))
             continue;
-        next = now + givenUpAfter;
+        next = now + checkTimeout;
         due.push_back({view, view.counters->possiblyColdSent});
     }
     m_nextCheck = std::move(nextCheck);
     return due;
 }
 
-std::optional<ColdUpdate> ColdWatch::onChecked(const ColdCheck &check, const WholeAnswer &answer)
+std::optional<ColdUpdate> ColdServerMonitor::onHealthCheckEnded(const ColdCheck &check,
+                                                                const WholeAnswer &answer)
 {
     constexpr int statusOk = 200;
     const ServerView &view = check.view;
     const TimePoint now = m_state.clock.now();
-    if (const auto asked = m_nextCheck.find(view.server.name); asked != m_nextCheck.end())
-        asked->second = now;
+    if (const auto nextCheck = m_nextCheck.find(view.server.name); nextCheck != m_nextCheck.end())
+        nextCheck->second = now;
     Target target;
     target.name = view.server.name;
     target.incarnation = view.incarnation;
@@ -57,12 +58,12 @@
         return std::nullopt;
     // A check that is turned away does not tell.
     if (!left && answer.response.status == statusOk)
-        recordWarm(*view.counters, check.sentBefore, now);
+        recordWarm(*view.counters, check.sentWhenStarted, now);
     if (!left)
         return std::nullopt;
     const auto ms = std::chrono::duration_cast<std::chrono::milliseconds>(*left).count();
     const ColdUpdate news{serverId(view.server.name), static_cast<std::uint32_t>(ms)};
-    if (!onNews(news))
+    if (!onUpdate(news))
         return std::nullopt;
     logLine(LogPart::load, LogLevel::info, "Backend server cold.",
             {{"server", view.server.name},
@@ -71,7 +72,7 @@
     return news;
 }
 
-bool ColdWatch::onNews(const ColdUpdate &news)
+bool ColdServerMonitor::onUpdate(const ColdUpdate &news)
 {
     const Duration left = std::chrono::milliseconds(news.remainingMs);
     return m_state.servers.onCold(news.server, left, m_state.clock.now());
--- a/src/entry/cold-watch.h
+++ b/src/entry/cold-server-monitor.h
@@ -18,23 +18,26 @@
 struct ColdCheck
 {
     ServerView view;
-    std::uint32_t sentBefore = 0; // possiblyColdSent when it was sent
+    std::uint32_t sentWhenStarted = 0; // possiblyColdSent when it was sent
 };
 
 // On the control loop only.
-class ColdWatch
+class ColdServerMonitor
 {
 public:
-    ColdWatch(EntryState &state, const Protocol &protocol)
-        : m_state(state), m_protocol(protocol) { }
-
-    // Several times a second. Servers to look at now: those for which `watches` holds, and those
-    // that this instance has sent to, or may want to, since it last found them warm.
-    std::vector<ColdCheck> dueForCheck(const std::function<bool(const ServerView &)> &watches);
+    ColdServerMonitor(EntryState &state, const Protocol &protocol)
+        : m_state(state), m_protocol(protocol)
+    {
+    }
+
+    // Several times a second. Servers to look at now: those for which `isResponsible` holds, and
+    // those that this instance has sent to, or may want to, since it last found them warm.
+    std::vector<ColdCheck>
+    dueForHealthCheck(const std::function<bool(const ServerView &)> &isResponsible);
     // The answer to that. What the region's other instances have to hear, if anything.
-    std::optional<ColdUpdate> onChecked(const ColdCheck &check, const WholeAnswer &answer);
+    std::optional<ColdUpdate> onHealthCheckEnded(const ColdCheck &check, const WholeAnswer &answer);
     // From another instance of the region. True if it was news.
-    bool onNews(const ColdUpdate &news);
+    bool onUpdate(const ColdUpdate &news);
 
 private:
     EntryState &m_state;
--- a/src/entry/control-loads.cc
+++ b/src/entry/control-loads.cc
@@ -138,22 +138,24 @@
 
 void Control::watchSilence()
 {
-    shareSilence(m_silence.tick());
-    for (const ServerView &view : m_silence.dueForQuestion()) {
-        sendWhole(m_client, shortStateQuery(m_protocol, view.server),
+    shareSilence(m_silentServers.tick());
+    for (const ServerView &view : m_silentServers.dueForStatusCheck()) {
+        sendWhole(m_client, makeRegionStatusQuery(m_protocol, view.server),
                   [this, view](const WholeAnswer &answer) {
-                      m_link.post([this, view, answer] { m_silence.onQuestionOver(view, answer); });
+                      m_link.post([this, view, answer] {
+                          m_silentServers.onStatusCheckEnded(view, answer);
+                      });
                   });
     }
-    for (const ServerView &view : m_silence.dueForCheck()) {
+    for (const ServerView &view : m_silentServers.dueForHealthCheck()) {
         if (!amongFirst(view.server.name, checkersPerServer))
             continue;
         const ColdCheck check{view, view.counters->possiblyColdSent};
-        sendWhole(m_client, shortHealthCheck(m_state, m_protocol, view.server),
+        sendWhole(m_client, makeRegionHealthCheck(m_state, m_protocol, view.server),
                   [this, check](const WholeAnswer &answer) {
                       m_link.post([this, check, answer] {
-                          shareCold(m_cold.onChecked(check, answer));
-                          shareSilence(m_silence.onChecked(check.view, answer));
+                          shareCold(m_coldServers.onHealthCheckEnded(check, answer));
+                          shareSilence(m_silentServers.onHealthCheckEnded(check.view, answer));
                       });
                   });
     }
@@ -161,14 +163,15 @@
 
 void Control::watchCold()
 {
-    const auto watches = [this](const ServerView &view) {
+    const auto isResponsible = [this](const ServerView &view) {
         return amongFirst(view.server.name, checkersPerServer);
     };
-    for (const ColdCheck &check : m_cold.dueForCheck(watches)) {
-        sendWhole(m_client, shortHealthCheck(m_state, m_protocol, check.view.server),
+    for (const ColdCheck &check : m_coldServers.dueForHealthCheck(isResponsible)) {
+        sendWhole(m_client, makeRegionHealthCheck(m_state, m_protocol, check.view.server),
                   [this, check](const WholeAnswer &answer) {
-                      m_link.post(
-                          [this, check, answer] { shareCold(m_cold.onChecked(check, answer)); });
+                      m_link.post([this, check, answer] {
+                          shareCold(m_coldServers.onHealthCheckEnded(check, answer));
+                      });
                   });
     }
 }
--- a/src/entry/control.cc
+++ b/src/entry/control.cc
@@ -46,7 +46,7 @@
 Control::Control(EntryState &state, const Protocol &protocol, HttpClient &client)
     : m_state(state), m_client(client),
       m_membership(selfMember(state), state.settings.seeds, MembershipSettings{}),
-      m_silence(state, protocol), m_cold(state, protocol), m_protocol(protocol),
+      m_silentServers(state, protocol), m_coldServers(state, protocol), m_protocol(protocol),
       m_link(state.settings.gossipAddress, *this)
 {
 }
@@ -335,11 +335,11 @@
         for (const CompactLoad &load : message.loads)
             m_routingDirty |= m_state.servers.onReport(load, now);
         for (const SilenceUpdate &news : message.silences)
-            m_silence.onNews(news);
+            m_silentServers.onUpdate(news);
         for (const RangeNews &news : message.ranges)
             m_source->onNews(news, from);
         for (const ColdUpdate &news : message.colds)
-            m_cold.onNews(news);
+            m_coldServers.onUpdate(news);
         if (message.tellsUses)
             m_state.usage.onInstanceUse(message.probe.sender.name, message.uses, now);
         if (!message.silences.empty() || !message.colds.empty())
--- a/src/entry/control.h
+++ b/src/entry/control.h
@@ -7,11 +7,11 @@
 #include <string>
 #include <vector>
 
-#include "cold-watch.h"
+#include "cold-server-monitor.h"
 #include "ibisnotch/http-client.h"
 #include "ibisnotch/membership.h"
 #include "ibisnotch/peer-link.h"
-#include "silence-watch.h"
+#include "silent-server-monitor.h"
 #include "state-source.h"
 #include "state.h"
 
@@ -95,8 +95,8 @@
     EntryState &m_state;
     HttpClient &m_client;
     Membership m_membership;
-    SilenceWatch m_silence;
-    ColdWatch m_cold;
+    SilentServerMonitor m_silentServers;
+    ColdServerMonitor m_coldServers;
     const Protocol &m_protocol;
     std::size_t m_loadCursor = 0;
     std::size_t m_pollCursor = 0;
--- a/src/entry/health-check.cc
+++ b/src/entry/health-check.cc
@@ -5,12 +5,12 @@
 namespace {
 
 // Servers of the region answer a check in a millisecond, or wait for a slot.
-constexpr Duration checkTime = std::chrono::milliseconds(400);
+constexpr Duration healthCheckTimeout = std::chrono::milliseconds(400);
 
 // A server that lives tells its state in some ten.
-constexpr Duration answerTime = std::chrono::milliseconds(300);
+constexpr Duration statusQueryTimeout = std::chrono::milliseconds(300);
 
-OutgoingRequest withLimits(OutgoingRequest request, Duration limit)
+OutgoingRequest withTimeout(OutgoingRequest request, Duration limit)
 {
     request.limits = {limit, limit, limit, limit};
     // A kept connection may have fallen silent by itself.
@@ -20,15 +20,15 @@
 
 } // namespace
 
-OutgoingRequest shortHealthCheck(const EntryState &state, const Protocol &protocol,
-                                 const BackendServer &server)
+OutgoingRequest makeRegionHealthCheck(const EntryState &state, const Protocol &protocol,
+                                      const BackendServer &server)
 {
-    return withLimits(protocol.healthCheck(*state.gate.config(), server), checkTime);
+    return withTimeout(protocol.healthCheck(*state.gate.config(), server), healthCheckTimeout);
 }
 
-OutgoingRequest shortStateQuery(const Protocol &protocol, const BackendServer &server)
+OutgoingRequest makeRegionStatusQuery(const Protocol &protocol, const BackendServer &server)
 {
-    return withLimits(protocol.stateQuery(server), answerTime);
+    return withTimeout(protocol.stateQuery(server), statusQueryTimeout);
 }
 
 } // namespace ibisnotch
--- a/src/entry/health-check.h
+++ b/src/entry/health-check.h
@@ -8,10 +8,10 @@
 namespace ibisnotch {
 
 // With the limits that suit a server of the region. A configuration must be in force.
-OutgoingRequest shortHealthCheck(const EntryState &state, const Protocol &protocol,
-                                 const BackendServer &server);
+OutgoingRequest makeRegionHealthCheck(const EntryState &state, const Protocol &protocol,
+                                      const BackendServer &server);
 
 // Whether the server answers at all.
-OutgoingRequest shortStateQuery(const Protocol &protocol, const BackendServer &server);
+OutgoingRequest makeRegionStatusQuery(const Protocol &protocol, const BackendServer &server);
 
 } // namespace ibisnotch
--- a/src/entry/silence-watch.cc
+++ b/src/entry/silent-server-monitor.cc
@@ -1,4 +1,4 @@
-#include "silence-watch.h"
+#include "silent-server-monitor.h"
 
 #include <algorithm>
 
@@ -9,15 +9,15 @@
 namespace {
 
 // A loop that stood still this long has not read what servers sent meanwhile.
-constexpr Duration standstill = std::chrono::milliseconds(400);
-constexpr Duration afterStandstill = std::chrono::milliseconds(500);
+constexpr Duration stallThreshold = std::chrono::milliseconds(400);
+constexpr Duration ignoreAfterStall = std::chrono::milliseconds(500);
 // If no server at all was heard within this, it is this instance that hears nothing.
-constexpr Duration othersHeard = std::chrono::milliseconds(300);
+constexpr Duration instanceCutOffAfter = std::chrono::milliseconds(300);
 // A server that is back is in use again after half of this in the mean; a check is counted by the
 // platform.
 constexpr Duration checkPeriod = std::chrono::milliseconds(500);
 
-std::string heardAgo(const ServerCounters &counters, TimePoint now)
+std::string timeSinceReceived(const ServerCounters &counters, TimePoint now)
 {
     const Duration::rep at = counters.lastReceivedAt;
     return at == 0 ? "never" : millisecondsText(now.time_since_epoch() - Duration(at));
@@ -38,46 +38,46 @@
 
 } // namespace
 
-SilenceWatch::SilenceWatch(EntryState &state, const Protocol &protocol)
+SilentServerMonitor::SilentServerMonitor(EntryState &state, const Protocol &protocol)
     : m_state(state), m_protocol(protocol)
 {
 }
 
-bool SilenceWatch::stoodStill(TimePoint now)
+bool SilentServerMonitor::isAfterStall(TimePoint now)
 {
-    const bool late = m_lastTick != TimePoint{} && now - m_lastTick > standstill;
+    const bool stalled = m_lastTick != TimePoint{} && now - m_lastTick > stallThreshold;
     m_lastTick = now;
-    if (late)
-        m_quietUntil = now + afterStandstill;
-    return now < m_quietUntil;
+    if (stalled)
+        m_ignoreUntil = now + ignoreAfterStall;
+    return now < m_ignoreUntil;
 }
 
-std::vector<SilenceUpdate> SilenceWatch::tick()
+std::vector<SilenceUpdate> SilentServerMonitor::tick()
 {
     std::vector<SilenceUpdate> news;
     const TimePoint now = m_state.clock.now();
     const auto table = m_state.routing.read();
-    if (stoodStill(now) || !table)
+    if (isAfterStall(now) || !table)
         return news;
-    forgetOver(*table, news);
-    const bool hears
+    removeEnded(*table, news);
+    const bool receivesAnything
         = std::any_of(table->servers.begin(), table->servers.end(), [&](const ServerView &view) {
-              return receivedWithin(*view.counters, othersHeard, now);
+              return receivedWithin(*view.counters, instanceCutOffAfter, now);
           });
-    if (!hears)
+    if (!receivesAnything)
         return news;
     for (const ServerView &view : table->servers) {
         if (!inUse(view) || m_silent.count(view.server.name) > 0)
             continue;
         if (!isSilent(*view.counters, now))
             continue;
-        take(view, "own");
+        markSilent(view, "own");
         news.push_back({serverId(view.server.name), true});
     }
     return news;
 }
 
-void SilenceWatch::take(const ServerView &view, std::string_view source)
+void SilentServerMonitor::markSilent(const ServerView &view, std::string_view source)
 {
     const TimePoint now = m_state.clock.now();
     m_silent[view.server.name] = {now, now + checkPeriod};
@@ -88,10 +88,10 @@
              {"source", std::string(source)},
              {"inFlight", std::to_string(view.counters->inFlight)},
              {"streaming", std::to_string(view.counters->awaitedStreams)},
-             {"heardMsAgo", heardAgo(*view.counters, now)}});
+             {"heardMsAgo", timeSinceReceived(*view.counters, now)}});
 }
 
-void SilenceWatch::giveBack(const std::string &name, std::string_view source)
+void SilentServerMonitor::restore(const std::string &name, std::string_view source)
 {
     const TimePoint now = m_state.clock.now();
     m_silent.erase(name);
@@ -101,31 +101,31 @@
 }
 
 // Taken back without a word that it sent to a request of this instance.
-void SilenceWatch::trust(const ServerView &view, std::string_view source)
+void SilentServerMonitor::restoreWithoutResponse(const ServerView &view, std::string_view source)
 {
     recordRecovered(*view.counters, m_state.clock.now());
-    giveBack(view.server.name, source);
+    restore(view.server.name, source);
 }
 
 // Servers that have left the table, and those of which an answer came after all.
-void SilenceWatch::forgetOver(const RoutingTable &table, std::vector<SilenceUpdate> &news)
+void SilentServerMonitor::removeEnded(const RoutingTable &table, std::vector<SilenceUpdate> &news)
 {
-    std::vector<std::string> heard;
+    std::vector<std::string> responding;
     std::erase_if(m_silent, [&](const auto &entry) {
         const ServerView *view = findView(table, entry.first);
         if (view == nullptr)
             return true;
         if (Duration(view->counters->lastReceivedAt.load()) > entry.second.since.time_since_epoch())
-            heard.push_back(entry.first);
+            responding.push_back(entry.first);
         return false;
     });
-    for (const std::string &name : heard) {
-        giveBack(name, "own");
+    for (const std::string &name : responding) {
+        restore(name, "own");
         news.push_back({serverId(name), false});
     }
 }
 
-void SilenceWatch::onNews(const SilenceUpdate &news)
+void SilentServerMonitor::onUpdate(const SilenceUpdate &news)
 {
     const TimePoint now = m_state.clock.now();
     const auto table = m_state.routing.read();
@@ -136,20 +136,20 @@
             continue;
         const bool known = m_silent.count(view.server.name) > 0;
         if (!news.silent && known)
-            return trust(view, "peer");
+            return restoreWithoutResponse(view, "peer");
         // Own evidence goes first: the server may be cut off from the other instance alone.
-        if (news.silent && !known && !receivedWithin(*view.counters, othersHeard, now))
-            take(view, "peer");
+        if (news.silent && !known && !receivedWithin(*view.counters, instanceCutOffAfter, now))
+            markSilent(view, "peer");
         return;
     }
 }
 
-std::vector<ServerView> SilenceWatch::dueForQuestion()
+std::vector<ServerView> SilentServerMonitor::dueForStatusCheck()
 {
     const TimePoint now = m_state.clock.now();
     std::vector<ServerView> due;
     const auto table = m_state.routing.read();
-    if (!table || now < m_quietUntil)
+    if (!table || now < m_ignoreUntil)
         return due;
     for (const ServerView &view : table->servers) {
         if (tryAcquireHealthCheck(*view.counters, now))
@@ -158,7 +158,7 @@
     return due;
 }
 
-void SilenceWatch::onQuestionOver(const ServerView &view, const WholeAnswer &answer)
+void SilentServerMonitor::onStatusCheckEnded(const ServerView &view, const WholeAnswer &answer)
 {
     const bool answered = answer.result.end == TransferEnd::complete;
     recordHealthCheck(*view.counters, answered, m_state.clock.now());
@@ -167,10 +167,10 @@
     logLine(LogPart::load, LogLevel::info, "Backend server did not answer.",
             {{"server", view.server.name},
              {"streaming", std::to_string(view.counters->awaitedStreams)},
-             {"heardMsAgo", heardAgo(*view.counters, m_state.clock.now())}});
+             {"heardMsAgo", timeSinceReceived(*view.counters, m_state.clock.now())}});
 }
 
-std::vector<ServerView> SilenceWatch::dueForCheck()
+std::vector<ServerView> SilentServerMonitor::dueForHealthCheck()
 {
     const TimePoint now = m_state.clock.now();
     std::vector<ServerView> due;
@@ -187,8 +187,8 @@
     return due;
 }
 
-std::vector<SilenceUpdate> SilenceWatch::onChecked(const ServerView &view,
-                                                   const WholeAnswer &answer)
+std::vector<SilenceUpdate> SilentServerMonitor::onHealthCheckEnded(const ServerView &view,
+                                                                   const WholeAnswer &answer)
 {
     constexpr int statusOk = 200;
     const std::string &name = view.server.name;
@@ -199,7 +199,7 @@
         = answer.response.status == statusOk && m_protocol.showsSameRun(target, answer);
     if (!healthy || m_silent.count(name) == 0)
         return {};
-    trust(view, "health check");
+    restoreWithoutResponse(view, "health check");
     return {{serverId(name), false}};
 }
 
--- a/src/entry/silence-watch.h
+++ b/src/entry/silent-server-monitor.h
@@ -13,44 +13,45 @@
 namespace ibisnotch {
 
 // On the control loop only.
-class SilenceWatch
+class SilentServerMonitor
 {
 public:
-    SilenceWatch(EntryState &state, const Protocol &protocol);
+    SilentServerMonitor(EntryState &state, const Protocol &protocol);
 
     // Several times a second. Returns what the region's other instances have to hear.
     std::vector<SilenceUpdate> tick();
     // From another instance of the region.
-    void onNews(const SilenceUpdate &news);
+    void onUpdate(const SilenceUpdate &news);
 
     // Silent servers to ask now whether they live, before what runs there is ended.
-    std::vector<ServerView> dueForQuestion();
+    std::vector<ServerView> dueForStatusCheck();
     // An answer of any kind shows that such a server lives.
-    void onQuestionOver(const ServerView &view, const WholeAnswer &answer);
+    void onStatusCheckEnded(const ServerView &view, const WholeAnswer &answer);
 
     // Servers to ask whether they live again, now. The caller says which are its to ask.
-    std::vector<ServerView> dueForCheck();
+    std::vector<ServerView> dueForHealthCheck();
     // The answer to a health check of such a server.
-    std::vector<SilenceUpdate> onChecked(const ServerView &view, const WholeAnswer &answer);
+    std::vector<SilenceUpdate> onHealthCheckEnded(const ServerView &view,
+                                                  const WholeAnswer &answer);
 
 private:
-    struct Silent
+    struct SilentServer
     {
         TimePoint since;
         TimePoint nextCheck;
     };
 
-    bool stoodStill(TimePoint now);
-    void take(const ServerView &view, std::string_view source);
-    void trust(const ServerView &view, std::string_view source);
-    void giveBack(const std::string &name, std::string_view source);
-    void forgetOver(const RoutingTable &table, std::vector<SilenceUpdate> &news);
+    bool isAfterStall(TimePoint now);
+    void markSilent(const ServerView &view, std::string_view source);
+    void restoreWithoutResponse(const ServerView &view, std::string_view source);
+    void restore(const std::string &name, std::string_view source);
+    void removeEnded(const RoutingTable &table, std::vector<SilenceUpdate> &news);
 
     EntryState &m_state;
     const Protocol &m_protocol;
     TimePoint m_lastTick{};
-    TimePoint m_quietUntil{};
-    std::map<std::string, Silent> m_silent;
+    TimePoint m_ignoreUntil{};
+    std::map<std::string, SilentServer> m_silent;
 };
 
 } // namespace ibisnotch
