--- a/src/entry/attempt.cc
+++ b/src/entry/attempt.cc
@@ -13,7 +13,7 @@
 } // namespace
 
 Dispatch::Attempt::Attempt(std::shared_ptr<Dispatch> dispatch, Target target,
-                           std::unique_ptr<AnswerReader> reader)
+                           std::unique_ptr<ResponseReader> reader)
     : m_dispatch(std::move(dispatch)), m_target(std::move(target)), m_reader(std::move(reader)),
       m_heard(m_dispatch->m_state.clock.now())
 {
@@ -43,7 +43,7 @@
         recordReceived(*m_target.counters, m_heard);
     const auto end = m_reader->onData(data, passed);
     notePace();
-    if (!end && !passed.empty() && !m_reader->streams() && !m_tooLong) {
+    if (!end && !passed.empty() && !m_reader->isStreaming() && !m_tooLong) {
         m_answer.body += passed;
         if (m_answer.body.size() <= largestKept)
             return true;
@@ -62,7 +62,7 @@
 // The first event comes after the prompt is read and says nothing of the pace.
 void Dispatch::Attempt::notePace()
 {
-    const int events = m_reader->events() - m_eventsNoted;
+    const int events = m_reader->eventCount() - m_eventsNoted;
     if (events <= 0 || !m_target.counters)
         return;
     if (m_eventsNoted > 0)
@@ -90,7 +90,7 @@
         return AttemptEnd::callerLeft;
     switch (result.end) {
     case TransferEnd::complete:
-        return m_reader->end();
+        return m_reader->attemptEnd();
     case TransferEnd::refusedByPeer:
         return AttemptEnd::notConnected;
     case TransferEnd::timedOut:
--- a/src/entry/attempt.h
+++ b/src/entry/attempt.h
@@ -14,7 +14,7 @@
 {
 public:
     Attempt(std::shared_ptr<Dispatch> dispatch, Target target,
-            std::unique_ptr<AnswerReader> reader);
+            std::unique_ptr<ResponseReader> reader);
 
     bool onHead(int status, const Headers &headers) override;
     bool onData(std::string_view data) override;
@@ -23,7 +23,7 @@
     void onEnd(const TransferResult &result) override;
 
     const HttpResponse &answer() const { return m_answer; }
-    const AnswerReader &reader() const { return *m_reader; }
+    const ResponseReader &reader() const { return *m_reader; }
 
 private:
     void notePace();
@@ -32,7 +32,7 @@
 
     std::shared_ptr<Dispatch> m_dispatch;
     Target m_target;
-    std::unique_ptr<AnswerReader> m_reader;
+    std::unique_ptr<ResponseReader> m_reader;
     HttpResponse m_answer; // kept until it is whole
     bool m_tooLong = false; // to be kept whole
     std::optional<AttemptEnd> m_stoppedAs;
--- a/src/entry/built-in-interfaces.cc
+++ b/src/entry/built-in-interfaces.cc
@@ -1,6 +1,6 @@
 #include "chat-pages.h"
 #include "chat-protocol.h"
-#include "document-stateSource.h"
+#include "document-source.h"
 #include "interfaces.h"
 
 namespace ibisnotch {
--- a/src/entry/chat-pages.cc
+++ b/src/entry/chat-pages.cc
@@ -96,7 +96,7 @@
         = std::chrono::duration_cast<std::chrono::milliseconds>(list.lifetime).count();
     HttpResponse response
         = json(200, {{"instances", instances}, {"lifetime_ms", lifetime}, {"booking_keys", keys}});
-    const Headers common = answerHeaders(id, ResultCode::served, m_state.settings.name);
+    const Headers common = resultHeaders(id, ResultCode::served, m_state.settings.name);
     for (const auto &[name, value] : common.fields())
         response.headers.add(name, value);
     return response;
--- a/src/entry/chat-protocol.cc
+++ b/src/entry/chat-protocol.cc
@@ -11,7 +11,7 @@
 
 constexpr int firstServerError = 500;
 
-class ChatReader final : public AnswerReader
+class ChatReader final : public ResponseReader
 {
 public:
     ChatReader(const std::string &requestId, AnswerForm form, bool fromPeer)
@@ -47,14 +47,14 @@
         return AttemptEnd::cutShort;
     }
 
-    AttemptEnd end() const override
+    AttemptEnd attemptEnd() const override
     {
         return m_check.whole() ? AttemptEnd::answered : AttemptEnd::cutShort;
     }
 
-    bool streams() const override { return m_streams; }
-    ResultCode code() const override { return m_code; }
-    bool leaving() const override { return m_leaving; }
+    bool isStreaming() const override { return m_streams; }
+    ResultCode resultCode() const override { return m_code; }
+    bool isServerLeaving() const override { return m_leaving; }
 
 private:
     static std::optional<AttemptEnd> judgeStatus(int status, const Headers &headers)
@@ -82,7 +82,7 @@
         return makeFilters(state);
     }
 
-    bool isRequest(const HttpRequest &request, bool) const override
+    bool needsBackendServer(const HttpRequest &request, bool) const override
     {
         return request.path == chatPath || request.path.rfind(servicesPath, 0) == 0;
     }
@@ -92,16 +92,16 @@
         return fromPeer ? request.headers.get(requestIdHeader).value_or("") : "";
     }
 
-    HttpResponse refusal(const Exchange &exchange, const Refusal &refusal,
-                         const std::string &servedBy) const override
+    HttpResponse makeRefusal(const Exchange &exchange, const Refusal &refusal,
+                             const std::string &servedBy) const override
     {
         return refusalResponse(exchange.id, refusal, servedBy);
     }
 
-    Headers answerHead(const Exchange &exchange, ResultCode code, const Headers &given,
-                       const std::string &servedBy) const override
+    Headers makeResponseHeaders(const Exchange &exchange, ResultCode code, const Headers &given,
+                                const std::string &servedBy) const override
     {
-        Headers headers = answerHeaders(exchange.id, code, servedBy);
+        Headers headers = resultHeaders(exchange.id, code, servedBy);
         for (const char *name : {"Content-Type", "Retry-After"}) {
             if (const auto value = given.get(name))
                 headers.add(name, *value);
@@ -109,22 +109,22 @@
         return headers;
     }
 
-    std::string streamFailure(const Exchange &exchange, ResultCode code,
-                              const std::string &servedBy) const override
+    std::string makeStreamError(const Exchange &exchange, ResultCode code,
+                                const std::string &servedBy) const override
     {
         return "data: " + refusalResponse(exchange.id, {code, "", {}}, servedBy).body + "\n\n";
     }
 
-    OutgoingRequest toServer(const Exchange &exchange, const Target &target,
-                             Duration) const override
+    OutgoingRequest makeServerRequest(const Exchange &exchange, const Target &target,
+                                      Duration) const override
     {
         const bool application = exchange.service->kind == ServiceKind::application;
         return request(exchange, target,
                        application ? exchange.service->path : exchange.request.path);
     }
 
-    OutgoingRequest toPeer(const Exchange &exchange, const Target &target,
-                           Duration remaining) const override
+    OutgoingRequest makePeerRequest(const Exchange &exchange, const Target &target,
+                                    Duration remaining) const override
     {
         OutgoingRequest result = request(exchange, target, exchange.request.path);
         result.headers.add(std::string(customerHeader), exchange.customer->name);
@@ -135,7 +135,8 @@
         return result;
     }
 
-    std::unique_ptr<AnswerReader> reader(const Exchange &exchange, bool fromPeer) const override
+    std::unique_ptr<ResponseReader> makeReader(const Exchange &exchange,
+                                               bool fromPeer) const override
     {
         const bool chat = exchange.service->kind == ServiceKind::model;
         AnswerForm form = chat ? AnswerForm::json : AnswerForm::plain;
@@ -144,25 +145,25 @@
         return std::make_unique<ChatReader>(exchange.id, form, fromPeer);
     }
 
-    OutgoingRequest healthCheck(const FleetConfig &, const BackendServer &server) const override
+    OutgoingRequest makeHealthCheck(const FleetConfig &, const BackendServer &server) const override
     {
-        return stateQuery(server);
+        return makeStatusQuery(server);
     }
 
-    OutgoingRequest stateQuery(const BackendServer &server) const override
+    OutgoingRequest makeStatusQuery(const BackendServer &server) const override
     {
         OutgoingRequest request;
         request.url = "http://" + server.address + "/metrics";
         return request;
     }
 
-    bool showsSameRun(const Target &target, const WholeAnswer &answer) const override
+    bool isSameIncarnation(const Target &target, const WholeAnswer &answer) const override
     {
         const LoadReport report = parseLoadMetrics(target.name, answer.response.body);
         return report.incarnation != 0 && report.incarnation == target.incarnation;
     }
 
-    bool passesFailures() const override { return false; }
+    bool passesServerErrors() const override { return false; }
 
 private:
     static OutgoingRequest request(const Exchange &exchange, const Target &target,
--- a/src/entry/cold-server-monitor.cc
+++ b/src/entry/cold-server-monitor.cc
@@ -53,8 +53,8 @@
     Target target;
     target.name = view.server.name;
     target.incarnation = view.incarnation;
-    const auto left = m_protocol.coldFor(answer);
-    if (!m_protocol.showsSameRun(target, answer))
+    const auto left = m_protocol.remainingColdTime(answer);
+    if (!m_protocol.isSameIncarnation(target, answer))
         return std::nullopt;
     // A check that is turned away does not tell.
     if (!left && answer.response.status == statusOk)
--- a/src/entry/dispatch-booking.cc
+++ b/src/entry/dispatch-booking.cc
@@ -39,7 +39,7 @@
         trace("issued key, answer repeated");
         HttpResponse response{
             decision.httpStatus,
-            answerHeaders(m_exchange->id, ResultCode::bookingRepeated, servedBy({})),
+            resultHeaders(m_exchange->id, ResultCode::bookingRepeated, servedBy({})),
             decision.answer};
         response.headers.add("Content-Type", "application/json");
         m_exchange->responder->reply(response);
--- a/src/entry/dispatch-end.cc
+++ b/src/entry/dispatch-end.cc
@@ -17,7 +17,7 @@
     }
     if (!cleared.empty())
         m_control.shareMarks(std::move(cleared));
-    const ResultCode code = attempt.reader().code();
+    const ResultCode code = attempt.reader().resultCode();
     const RunState run = resultInfo(code).runState;
     // A peer's refusal is true of its own part; an earlier attempt here may have run.
     if (run == RunState::notRun && m_mayHaveRun) {
@@ -40,8 +40,8 @@
 void Dispatch::reply(HttpResponse answer, ResultCode code)
 {
     m_firstByte = m_state.clock.now();
-    answer.headers
-        = m_protocol.answerHead(*m_exchange, code, answer.headers, servedBy(answer.headers));
+    answer.headers = m_protocol.makeResponseHeaders(*m_exchange, code, answer.headers,
+                                                    servedBy(answer.headers));
     m_exchange->responder->reply(std::move(answer));
     finish(code);
 }
@@ -51,7 +51,7 @@
 {
     const bool late = remaining().count() <= 0;
     const ResultCode code = finalCode(end, m_exchange->service->idempotent, late);
-    m_exchange->responder->write(m_protocol.streamFailure(*m_exchange, code, servedBy({})));
+    m_exchange->responder->write(m_protocol.makeStreamError(*m_exchange, code, servedBy({})));
     m_exchange->responder->abort();
     settleUnknown();
     finish(code);
@@ -99,7 +99,7 @@
         return reply(*std::exchange(m_failure, std::nullopt), ResultCode::backendFailed);
     }
     trace("refused: " + std::string(resultInfo(refusal.code).name));
-    m_exchange->responder->reply(m_protocol.refusal(*m_exchange, refusal, servedBy({})));
+    m_exchange->responder->reply(m_protocol.makeRefusal(*m_exchange, refusal, servedBy({})));
     finish(refusal.code);
 }
 
@@ -112,8 +112,8 @@
     m_admitted = false;
     // What did not run is no use of the customer's.
     const bool ran = m_attempts > 0 && resultInfo(code).runState != RunState::notRun;
-    if (exchange.counted > 0 && !ran)
-        m_state.usage.giveBack(exchange.customer->name, exchange.counted, now);
+    if (exchange.usageCounted > 0 && !ran)
+        m_state.usage.giveBack(exchange.customer->name, exchange.usageCounted, now);
     RequestRecord record;
     record.service = exchange.service->name;
     record.customer = exchange.customer->name;
@@ -162,8 +162,8 @@
         text += fmt::format(";server:{:.0f}/{:.0f}+{:.0f},age:{}", m_inputs.serverLoad,
                             m_inputs.serverSlots, m_inputs.serverDelay * toMs,
                             m_inputs.reportAge ? millisecondsText(*m_inputs.reportAge) : "never");
-    if (m_inputs.coldFor)
-        text += ",cold:" + millisecondsText(*m_inputs.coldFor);
+    if (m_inputs.remainingColdTime)
+        text += ",cold:" + millisecondsText(*m_inputs.remainingColdTime);
     if (m_inputs.listAge)
         text += fmt::format(";list:{},age:{}", m_inputs.listRevision,
                             millisecondsText(*m_inputs.listAge));
@@ -176,23 +176,24 @@
 {
     const Exchange &exchange = *m_exchange;
     const TimePoint now = m_state.clock.now();
-    logLine(LogPart::request, good ? LogLevel::info : LogLevel::warn, "Request over.",
-            {{"request", exchange.id},
-             {"customer", exchange.customer->name},
-             {"service", exchange.service->name},
-             {"code", std::to_string(static_cast<int>(code))},
-             {"attempts", std::to_string(m_attempts)},
-             {"server", m_servedBy},
-             {"firstMs", m_firstByte ? millisecondsText(*m_firstByte - exchange.arrived) : "none"},
-             {"ms", millisecondsText(now - exchange.arrived)},
-             {"leftMs", millisecondsText(remaining())},
-             {"configVersion", std::to_string(exchange.config().version)},
-             {"answerLoad",
-              m_answerLoad ? fmt::format("{}/{}", m_answerLoad->running, m_answerLoad->waiting)
-                           : "none"},
-             {"tokens",
-              fmt::format("{}/{}", m_exchange->prompt.tokens, m_exchange->prompt.sharedTokens())},
-             {"by", inputsText()}});
+    logLine(
+        LogPart::request, good ? LogLevel::info : LogLevel::warn, "Request over.",
+        {{"request", exchange.id},
+         {"customer", exchange.customer->name},
+         {"service", exchange.service->name},
+         {"code", std::to_string(static_cast<int>(code))},
+         {"attempts", std::to_string(m_attempts)},
+         {"server", m_servedBy},
+         {"firstMs", m_firstByte ? millisecondsText(*m_firstByte - exchange.arrived) : "none"},
+         {"ms", millisecondsText(now - exchange.arrived)},
+         {"leftMs", millisecondsText(remaining())},
+         {"configVersion", std::to_string(exchange.config().version)},
+         {"answerLoad",
+          m_responseLoad ? fmt::format("{}/{}", m_responseLoad->running, m_responseLoad->waiting)
+                         : "none"},
+         {"tokens",
+          fmt::format("{}/{}", m_exchange->prompt.tokens, m_exchange->prompt.sharedTokens())},
+         {"by", inputsText()}});
 }
 
 } // namespace ibisnotch
--- a/src/entry/dispatch-plan.cc
+++ b/src/entry/dispatch-plan.cc
@@ -47,7 +47,7 @@
 // The time in which a server of the region would read what the prompt shares.
 double Dispatch::sharedReadSeconds(std::span<const Candidate> candidates) const
 {
-    if (candidates.empty() || m_exchange->prefix == 0)
+    if (candidates.empty() || m_exchange->prefixHash == 0)
         return 0;
     const std::int64_t shared = m_exchange->prompt.sharedTokens();
     return seconds(readTime(candidates.front().tokensPerMs, shared));
@@ -152,15 +152,15 @@
     question.awayMargin = config.limits.awayMargin;
     question.mayForward
         = !m_stayHome && (!m_exchange->fromPeer || regionChanges(m_exchange->path) == 0);
-    if (m_exchange->prefix != 0 && !m_exchange->pool.empty())
+    if (m_exchange->prefixHash != 0 && !m_exchange->pool.empty())
         question.holder = affinityRegion(*table, candidates, question.home, m_exchange->pool,
-                                         question.allowed, m_exchange->prefix);
+                                         question.allowed, m_exchange->prefixHash);
     question.sharedReadSeconds = sharedReadSeconds(candidates);
     if (!candidates.empty())
         question.besideAtHome
             = question.homeLoad.outstanding / static_cast<double>(candidates.size());
     // A caller that has a part of its stream is not turned away for the rest.
-    admit = admit && m_exchange->lastEvent.empty();
+    admit = admit && m_exchange->lastEventId.empty();
     question.homeRefuses = admit && !m_admitted
         && m_state.admission.ask(admissionQuestion(question.homeLoad, false), m_state.random).code
             != ResultCode::served;
@@ -241,7 +241,7 @@
 Target Dispatch::peerTarget(const Member &member)
 {
     Target target;
-    target.away = true;
+    target.isPeer = true;
     target.name = member.name;
     target.region = member.region;
     target.address = member.peerAddress;
@@ -259,7 +259,7 @@
                        spreadRetryAfter(noServerPause, m_state.random)};
     PickInput input;
     input.candidates = candidates;
-    input.prefix = m_exchange->prefix;
+    input.prefix = m_exchange->prefixHash;
     input.sharedReadSeconds = sharedReadSeconds(candidates);
     input.weights = m_exchange->config().weights;
     input.expectedSeconds = seconds(m_exchange->service->expectedDuration);
@@ -273,7 +273,7 @@
     if (chosen.view->reportedAt != TimePoint{})
         m_inputs.reportAge = now - chosen.view->reportedAt;
     if (now < chosen.view->coldUntil)
-        m_inputs.coldFor = chosen.view->coldUntil - now;
+        m_inputs.remainingColdTime = chosen.view->coldUntil - now;
     if (!takeSendingRight(table, *chosen.view))
         return Refusal{ResultCode::noBackendServer, "",
                        spreadRetryAfter(noServerPause, m_state.random)};
--- a/src/entry/dispatch.cc
+++ b/src/entry/dispatch.cc
@@ -44,7 +44,7 @@
 
 void Dispatch::trace(std::string what)
 {
-    traceStep(*m_exchange, m_state.clock, std::move(what));
+    addTraceStep(*m_exchange, m_state.clock, std::move(what));
 }
 
 Duration Dispatch::remaining() const
@@ -67,7 +67,7 @@
                 self->onCallerLeft();
         });
     });
-    if (!exchange.isBooking() || exchange.cleared) {
+    if (!exchange.isBooking() || exchange.sendRightAcquired) {
         m_right = Right::notNeeded;
         return route();
     }
@@ -104,7 +104,7 @@
         return m_client.postAfter(wait->time, [self = shared_from_this()] { self->route(); });
     }
     const Target &target = std::get<Target>(planned);
-    if (target.away)
+    if (target.isPeer)
         trace("sent to another region by " + target.name);
     send(target);
 }
@@ -114,7 +114,7 @@
 bool Dispatch::maySeekRoom() const
 {
     const bool goesOn
-        = m_streamed && m_exchange->service->isResumable && !m_exchange->lastEvent.empty();
+        = m_streamed && m_exchange->service->isResumable && !m_exchange->lastEventId.empty();
     return goesOn && remaining() > m_exchange->service->expectedDuration + roomPause
         && !m_exchange->responder->closed();
 }
@@ -167,22 +167,22 @@
     limits.total = remaining();
     // An idempotent request does not wait its whole time for a connection that may have gone
     // silent. A booking has nowhere else to go, so it waits.
-    const bool moveOn = m_exchange->service->idempotent && !target.away;
+    const bool moveOn = m_exchange->service->idempotent && !target.isPeer;
     limits.firstByte = moveOn ? std::min(firstLook, limits.total) : limits.total;
     limits.idle = moveOn ? firstLook : limits.total;
     return limits;
 }
 
-bool Dispatch::waitsOn(const Target &target, const AnswerReader &reader, TimePoint heard) const
+bool Dispatch::waitsOn(const Target &target, const ResponseReader &reader, TimePoint heard) const
 {
     const TimePoint now = m_state.clock.now();
-    const bool began = reader.streams();
+    const bool began = reader.isStreaming();
     const Duration patience = began
         ? longestSilence
         : std::max(leastPatience, m_exchange->service->expectedDuration * patienceFactor);
     const bool overdue = now - heard >= patience;
     const bool gone = isUnresponsive(*target.counters, now);
-    const bool canResume = !m_exchange->lastEvent.empty() || !reader.lastEvent().empty();
+    const bool canResume = !m_exchange->lastEventId.empty() || !reader.lastEventId().empty();
     const bool mayMove = !m_trial
         && mayRetry(retryQuestion(AttemptEnd::silent, m_runs + 1, began && !canResume))
             == RetryAnswer::retry
@@ -227,19 +227,20 @@
 OutgoingRequest Dispatch::makeRequest(const Target &target) const
 {
     const Exchange &exchange = *m_exchange;
-    OutgoingRequest request = target.away ? m_protocol.toPeer(exchange, target, remaining())
-                                          : m_protocol.toServer(exchange, target, remaining());
+    OutgoingRequest request = target.isPeer
+        ? m_protocol.makePeerRequest(exchange, target, remaining())
+        : m_protocol.makeServerRequest(exchange, target, remaining());
     request.limits = limitsFor(target);
     request.freshConnection = request.freshConnection || m_attempts > 1;
-    if (!target.away)
+    if (!target.isPeer)
         return request;
     ForwardPath path = exchange.path;
     path.push_back(m_state.hop());
     request.headers.add(std::string(forwardPathHeader), printForwardPath(path));
     request.headers.add(std::string(runsBeforeHeader),
-                        std::to_string(exchange.runsBefore + m_runs));
+                        std::to_string(exchange.earlierRuns + m_runs));
     const bool holdsRight = m_right == Right::claim || m_right == Right::issuedKey;
-    if (holdsRight || exchange.cleared)
+    if (holdsRight || exchange.sendRightAcquired)
         request.headers.add("X-Ibisnotch-Cleared-By", m_state.settings.name);
     return request;
 }
@@ -259,7 +260,7 @@
 {
     if (m_exchange->prompt.tokens == 0)
         return;
-    const double waiting = m_answerLoad ? m_answerLoad->waiting : 0;
+    const double waiting = m_responseLoad ? m_responseLoad->waiting : 0;
     noteFirstToken(
         *target.counters,
         {tokensToRead(), waiting, m_state.clock.now() - m_attemptStarted, m_inputs.tokensPerMs});
@@ -267,19 +268,19 @@
     dropPending(target);
 }
 
-void Dispatch::onServerWord(const Target &target, const AnswerReader &reader)
+void Dispatch::onServerWord(const Target &target, const ResponseReader &reader)
 {
-    if (target.away)
+    if (target.isPeer)
         return;
     recordReceived(*target.counters, m_state.clock.now());
-    m_answerLoad = reader.load();
-    if (reader.streams()) {
+    m_responseLoad = reader.reportedLoad();
+    if (reader.isStreaming()) {
         noteFirstByte(target);
         m_streaming = m_streaming || recordStreamStarted(*target.counters, m_turn);
     }
-    if (reader.leaving())
+    if (reader.isServerLeaving())
         m_state.servers.onSelfReportedLeaving(target.name);
-    if (const auto load = m_answerLoad)
+    if (const auto load = m_responseLoad)
         m_state.servers.onAnswerLoad(target.name, load->running, load->waiting,
                                      m_state.clock.now());
 }
@@ -290,9 +291,9 @@
         m_streamed = true;
         m_firstByte = m_state.clock.now();
         m_exchange->responder->start(answer.status,
-                                     m_protocol.answerHead(*m_exchange, ResultCode::served,
-                                                           answer.headers,
-                                                           servedBy(answer.headers)));
+                                     m_protocol.makeResponseHeaders(*m_exchange, ResultCode::served,
+                                                                    answer.headers,
+                                                                    servedBy(answer.headers)));
     }
     m_exchange->responder->write(std::move(data));
 }
@@ -303,7 +304,7 @@
         settleNotRun();
         return refuse({ResultCode::deadlineTooShort, "", spreadRetryAfter(1, m_state.random)});
     }
-    if (!target.away && !passQuarantine()) {
+    if (!target.isPeer && !passQuarantine()) {
         settleNotRun();
         return refuse({ResultCode::heldForTrial, "", spreadRetryAfter(2, m_state.random)});
     }
@@ -311,7 +312,7 @@
     m_attemptStarted = m_state.clock.now();
     m_tried.insert(target.name);
     m_servedBy = target.name;
-    if (target.away && target.region != m_state.settings.region) {
+    if (target.isPeer && target.region != m_state.settings.region) {
         m_sentAway = true;
         m_state.regions.onSentAway(target.region, loadName(*m_exchange));
     }
@@ -327,7 +328,7 @@
         target.counters->awaitingFirstToken += m_awaitingFirst ? 1 : 0;
     }
     auto attempt = std::make_shared<Attempt>(shared_from_this(), target,
-                                             m_protocol.reader(*m_exchange, target.away));
+                                             m_protocol.makeReader(*m_exchange, target.isPeer));
     m_current = attempt;
     m_client.send(makeRequest(target), std::move(attempt));
 }
@@ -336,7 +337,7 @@
 {
     m_state.metrics.onAttempt(attemptEndName(end));
     trace(fmt::format("attempt {} at {}: {}", m_attempts, target.name, attemptEndName(end)));
-    if (target.away) {
+    if (target.isPeer) {
         if (target.region != m_state.settings.region)
             m_state.regions.onBack(target.region, loadName(*m_exchange));
         return;
@@ -355,7 +356,7 @@
     if (end == AttemptEnd::notConnected || end == AttemptEnd::otherServer)
         health = AttemptHealth::notConnected;
     // A whole failure answer shows a server that runs; what it says of the request is its own.
-    if (end == AttemptEnd::serverError && m_protocol.passesFailures())
+    if (end == AttemptEnd::serverError && m_protocol.passesServerErrors())
         health = AttemptHealth::good;
     m_state.servers.onAttempt(target.name, health, m_state.clock.now());
     if (failed) {
@@ -372,32 +373,32 @@
 void Dispatch::onAttemptEnd(const Target &target, AttemptEnd end, Attempt &attempt)
 {
     // The caller already has part of a stream, so an answer that is none cannot follow it.
-    if (end == AttemptEnd::answered && m_streamed && !attempt.reader().streams())
+    if (end == AttemptEnd::answered && m_streamed && !attempt.reader().isStreaming())
         end = AttemptEnd::serverError;
     noteAttempt(target, end);
     m_runs += certainlyNotRun(end) ? 0 : 1;
-    if (const std::string last = attempt.reader().lastEvent(); !last.empty())
-        m_exchange->lastEvent = last;
-    if (end == AttemptEnd::serverError && m_protocol.passesFailures() && !m_streamed)
+    if (const std::string last = attempt.reader().lastEventId(); !last.empty())
+        m_exchange->lastEventId = last;
+    if (end == AttemptEnd::serverError && m_protocol.passesServerErrors() && !m_streamed)
         m_failure = attempt.answer();
     m_mayHaveRun = m_mayHaveRun || (!certainlyNotRun(end) && end != AttemptEnd::answered);
     if (m_trial) {
         const std::lock_guard lock(m_state.quarantineMutex);
         m_state.quarantine.onTrialOver(m_exchange->fingerprint);
     }
-    if (!target.away && end == AttemptEnd::brokenOff && !m_exchange->responder->closed())
+    if (!target.isPeer && end == AttemptEnd::brokenOff && !m_exchange->responder->closed())
         onServerLost(target);
     if (end == AttemptEnd::answered && turnedAwayElsewhere(target, attempt)) {
         stayHome();
         return route();
     }
-    const bool wholeStream = end == AttemptEnd::answered && attempt.reader().events() > 0;
-    if (wholeStream && !target.away && m_attempts == 1)
+    const bool wholeStream = end == AttemptEnd::answered && attempt.reader().eventCount() > 0;
+    if (wholeStream && !target.isPeer && m_attempts == 1)
         m_state.habits.onEnded(*m_exchange->service, m_exchange->priority, loadName(*m_exchange),
-                               attempt.reader().events(), m_state.clock.now());
+                               attempt.reader().eventCount(), m_state.clock.now());
     if (end == AttemptEnd::answered)
         return deliver(attempt);
-    const bool mayResume = m_exchange->service->isResumable && !m_exchange->lastEvent.empty();
+    const bool mayResume = m_exchange->service->isResumable && !m_exchange->lastEventId.empty();
     if (tryAgain(end, m_streamed && !mayResume))
         return routeAgain(end);
     if (waitsForRetry(end))
@@ -440,11 +441,12 @@
         BackendServer server;
         server.address = target.address;
         server.pool = self->m_exchange->pool;
-        OutgoingRequest request = self->m_protocol.healthCheck(self->m_exchange->config(), server);
+        OutgoingRequest request
+            = self->m_protocol.makeHealthCheck(self->m_exchange->config(), server);
         request.limits.total = std::chrono::seconds(1);
         request.freshConnection = true;
         sendWhole(self->m_client, std::move(request), [self, target](const WholeAnswer &answer) {
-            if (!self->m_protocol.showsSameRun(target, answer))
+            if (!self->m_protocol.isSameIncarnation(target, answer))
                 return;
             std::vector<CrashMark> cleared;
             {
@@ -464,7 +466,7 @@
     question.callerHasSeenBytes = callerHasSeenBytes;
     // Servers that refuse a stream which has to go on leave others to ask; its caller has a part.
     question.attemptsMade = m_streamed ? runs : m_attempts;
-    question.runsMade = m_exchange->runsBefore + runs;
+    question.runsMade = m_exchange->earlierRuns + runs;
     question.mostRuns = m_exchange->service->maxAttempts;
     question.remaining = remaining();
     question.expected = m_exchange->service->expectedDuration;
@@ -503,13 +505,13 @@
 // nowhere, so home may still take it.
 bool Dispatch::turnedAwayElsewhere(const Target &target, const Attempt &attempt) const
 {
-    const ResultCode code = attempt.reader().code();
+    const ResultCode code = attempt.reader().resultCode();
     const bool noRoom = code == ResultCode::overloaded || code == ResultCode::noBackendServer
         || code == ResultCode::deadlineTooShort;
     const auto &allowed = m_exchange->allowedRegions;
     const bool homeAllowed
         = std::find(allowed.begin(), allowed.end(), m_state.settings.region) != allowed.end();
-    const bool away = target.away && target.region != m_state.settings.region;
+    const bool away = target.isPeer && target.region != m_state.settings.region;
     const bool mayRunAgain = m_exchange->service->idempotent || !m_mayHaveRun;
     return away && noRoom && homeAllowed && !m_stayHome && mayRunAgain && !m_toIssuer
         && !m_exchange->responder->closed();
--- a/src/entry/dispatch.h
+++ b/src/entry/dispatch.h
@@ -36,7 +36,7 @@
     double serverDelay = 0; // seconds before a prompt sent now is read
     double tokensPerMs = 0; // at which servers of its pool read; 0: not known
     std::optional<Duration> reportAge; // of that server's last report; none: it never reported
-    std::optional<Duration> coldFor; // how much longer that server was taken for cold
+    std::optional<Duration> remainingColdTime; // how much longer that server was taken for cold
     std::uint64_t listRevision = 0;
     std::optional<Duration> listAge; // none: no list has been read
 };
@@ -100,7 +100,7 @@
     bool passQuarantine();
     OutgoingRequest makeRequest(const Target &target) const;
     // What the attempt under way reports.
-    void onServerWord(const Target &target, const AnswerReader &reader);
+    void onServerWord(const Target &target, const ResponseReader &reader);
     void passOn(const HttpResponse &answer, std::string data);
     void onCallerLeft();
     // What the server still has to read of the prompt, as far as it can be known.
@@ -108,7 +108,7 @@
     void noteFirstByte(const Target &target);
     // Whether an attempt without a byte since `heard` may still come to something better than what
     // another server would give.
-    bool waitsOn(const Target &target, const AnswerReader &reader, TimePoint heard) const;
+    bool waitsOn(const Target &target, const ResponseReader &reader, TimePoint heard) const;
     bool roomElsewhere(double mostTaken) const;
     void dropPending(const Target &target);
     TransferLimits limitsFor(const Target &target) const;
@@ -173,7 +173,7 @@
     double m_cost = 0;
     std::optional<TimePoint> m_firstByte;
     RouteInputs m_inputs;
-    std::optional<AnswerLoad> m_answerLoad;
+    std::optional<ResponseLoad> m_responseLoad;
 };
 
 } // namespace ibisnotch
--- a/src/entry/exchange.cc
+++ b/src/entry/exchange.cc
@@ -6,14 +6,14 @@
 
 namespace ibisnotch {
 
-void traceStep(Exchange &exchange, const Clock &clock, std::string what)
+void addTraceStep(Exchange &exchange, const Clock &clock, std::string description)
 {
     const auto at
         = std::chrono::duration_cast<std::chrono::milliseconds>(clock.now() - exchange.arrived);
-    exchange.trace.steps.push_back({at.count(), std::move(what)});
+    exchange.trace.steps.push_back({at.count(), std::move(description)});
 }
 
-Headers answerHeaders(const std::string &requestId, ResultCode code, const std::string &servedBy)
+Headers resultHeaders(const std::string &requestId, ResultCode code, const std::string &servedBy)
 {
     Headers headers;
     headers.add(std::string(requestIdHeader), requestId);
@@ -40,7 +40,7 @@
         error["retry_after_ms"] = retryMs;
     HttpResponse response;
     response.status = info.httpStatus;
-    response.headers = answerHeaders(requestId, refusal.code, servedBy);
+    response.headers = resultHeaders(requestId, refusal.code, servedBy);
     response.headers.add("Content-Type", "application/json");
     if (retryMs > 0)
         response.headers.add("Retry-After", std::to_string((retryMs + 999) / 1000));
--- a/src/entry/exchange.h
+++ b/src/entry/exchange.h
@@ -18,7 +18,7 @@
 // A part of a prompt that other requests may share. The last part of a prompt is its own.
 struct PromptPart
 {
-    std::uint64_t name = 0;
+    std::uint64_t hash = 0;
     std::int64_t tokens = 0;
     bool operator==(const PromptPart &) const = default;
 };
@@ -27,7 +27,7 @@
 {
     std::vector<PromptPart> parts; // in the order in which a server reads them
     std::int64_t tokens = 0;
-    std::int64_t answerTokens = 0; // at most
+    std::int64_t maxAnswerTokens = 0; // at most
 
     // All parts but the last, which is the request's own.
     std::int64_t sharedTokens() const
@@ -51,29 +51,29 @@
     TimePoint deadline;
     ForwardPath path; // before this instance
     // A booking whose right to send was taken by the instance that handed it on.
-    bool cleared = false;
+    bool sendRightAcquired = false;
 
     std::shared_ptr<const RoutingTable> table;
     const Customer *customer = nullptr; // of the table's configuration
     const Service *service = nullptr;
-    std::string key; // as the caller showed it
-    std::optional<std::string> customerName; // as a peer told it
-    int runsBefore = 0; // attempts that may have run before a peer handed the request on
+    std::string apiKey; // as the caller showed it
+    std::optional<std::string> forwardedCustomer; // as a peer told it
+    int earlierRuns = 0; // attempts that may have run before a peer handed the request on
     std::string host; // for services chosen by host and path
-    std::optional<Duration> callerWait; // as the caller gave it
+    std::optional<Duration> callerTimeout; // as the caller gave it
     Prompt prompt;
     int priority = 0; // 0 is most urgent
     std::optional<int> urgency; // for servers that order their queue; 0 is most urgent
-    double counted = 0; // against the customer's usage cap
+    double usageCounted = 0; // against the customer's usage cap
     std::string pool; // of the service's pools, drawn once for all attempts
     bool streaming = false;
-    std::string lastEvent; // of a resumed stream: the last one that its caller has
+    std::string lastEventId; // of a resumed stream: the last one that its caller has
     std::vector<std::string> allowedRegions;
     std::optional<BookingKey> bookingKey;
     std::string bookingKeyText;
     std::string bodyHash;
     std::string fingerprint;
-    std::uint64_t prefix = 0;
+    std::uint64_t prefixHash = 0;
 
     Trace trace;
 
@@ -98,10 +98,10 @@
     bool operator==(const Refusal &) const = default;
 };
 
-void traceStep(Exchange &exchange, const Clock &clock, std::string what);
+void addTraceStep(Exchange &exchange, const Clock &clock, std::string description);
 
 // Headers that every answer carries.
-Headers answerHeaders(const std::string &requestId, ResultCode code, const std::string &servedBy);
+Headers resultHeaders(const std::string &requestId, ResultCode code, const std::string &servedBy);
 
 HttpResponse refusalResponse(const std::string &requestId, const Refusal &refusal,
                              const std::string &servedBy);
--- a/src/entry/filters.cc
+++ b/src/entry/filters.cc
@@ -36,7 +36,7 @@
             return Refusal{resultCodeOf(checked), std::string(checked.message()), {}};
         exchange.path = *path;
         const std::string runs = exchange.request.headers.get(runsBeforeHeader).value_or("0");
-        if (!absl::SimpleAtoi(runs, &exchange.runsBefore) || exchange.runsBefore < 0)
+        if (!absl::SimpleAtoi(runs, &exchange.earlierRuns) || exchange.earlierRuns < 0)
             return Refusal{ResultCode::malformedRequest, std::string(runsBeforeHeader), {}};
         return std::nullopt;
     }
@@ -94,7 +94,7 @@
         exchange.fingerprint
             = requestFingerprint(customer, exchange.service->name, request.body.text());
         if (exchange.service->kind == ServiceKind::model)
-            exchange.prefix = prefixHash(customer, exchange.service->name, request.body.text());
+            exchange.prefixHash = prefixHash(customer, exchange.service->name, request.body.text());
         const auto &allowed = exchange.customer->services;
         const bool permitted = allowed.empty()
             || std::find(allowed.begin(), allowed.end(), exchange.service->name) != allowed.end();
@@ -258,7 +258,7 @@
         if (!answer.fits)
             return Refusal{ResultCode::usageCapReached, reasonText(answer, customer),
                            spreadRetryAfter(seconds(answer.retryAfter), m_state.random)};
-        exchange.counted = amount;
+        exchange.usageCounted = amount;
         return std::nullopt;
     }
 
@@ -267,7 +267,7 @@
     {
         if (!cap.countsTokens)
             return 1;
-        const std::int64_t named = prompt.tokens + prompt.answerTokens;
+        const std::int64_t named = prompt.tokens + prompt.maxAnswerTokens;
         return named > 0 ? static_cast<double>(named) : cap.plainTokens;
     }
 
@@ -304,7 +304,7 @@
         exchange.bookingKeyText = callerKey != nullptr ? callerKey->text : *text;
         exchange.bodyHash = hash128Hex(exchange.service->name, exchange.request.query,
                                        exchange.request.body.text());
-        exchange.cleared = isCleared(exchange);
+        exchange.sendRightAcquired = isCleared(exchange);
         return std::nullopt;
     }
 
--- a/src/entry/gateway.cc
+++ b/src/entry/gateway.cc
@@ -26,7 +26,7 @@
 {
     // An exception that left a handler would close the connection without a result code.
     try {
-        if (m_services.protocol.isRequest(request, m_forPeers))
+        if (m_services.protocol.needsBackendServer(request, m_forPeers))
             serve(std::move(request), std::move(responder));
         else
             responder->reply(m_pages.answer(request));
@@ -57,10 +57,11 @@
 
 void Gateway::refuse(Exchange &exchange, const Refusal &refusal)
 {
-    traceStep(exchange, m_state.clock, "refused: " + std::string(resultInfo(refusal.code).name));
+    addTraceStep(exchange, m_state.clock, "refused: " + std::string(resultInfo(refusal.code).name));
     exchange.trace.resultCode = static_cast<int>(refusal.code);
     m_state.traces.add(exchange.trace);
-    HttpResponse response = m_services.protocol.refusal(exchange, refusal, m_state.settings.name);
+    HttpResponse response
+        = m_services.protocol.makeRefusal(exchange, refusal, m_state.settings.name);
     const bool elsewhere
         = refusal.code == ResultCode::stopping || refusal.code == ResultCode::notReady;
     if (elsewhere)
--- a/src/entry/health-check.cc
+++ b/src/entry/health-check.cc
@@ -23,12 +23,12 @@
 OutgoingRequest makeRegionHealthCheck(const EntryState &state, const Protocol &protocol,
                                       const BackendServer &server)
 {
-    return withTimeout(protocol.healthCheck(*state.gate.config(), server), healthCheckTimeout);
+    return withTimeout(protocol.makeHealthCheck(*state.gate.config(), server), healthCheckTimeout);
 }
 
 OutgoingRequest makeRegionStatusQuery(const Protocol &protocol, const BackendServer &server)
 {
-    return withTimeout(protocol.stateQuery(server), statusQueryTimeout);
+    return withTimeout(protocol.makeStatusQuery(server), statusQueryTimeout);
 }
 
 } // namespace ibisnotch
--- a/src/entry/interfaces.h
+++ b/src/entry/interfaces.h
@@ -10,7 +10,7 @@
 #include "ibisnotch/store.h"
 #include "placement-controller.h"
 #include "protocol.h"
-#include "state-stateSource.h"
+#include "state-source.h"
 #include "state.h"
 
 namespace ibisnotch {
--- a/src/entry/operators.cc
+++ b/src/entry/operators.cc
@@ -106,7 +106,7 @@
         return reply(404, {{"error", "no such request here, or too long ago"}});
     json steps = json::array();
     for (const TraceStep &step : trace->steps)
-        steps.push_back({{"atMs", step.atMs}, {"what", step.what}});
+        steps.push_back({{"atMs", step.atMs}, {"what", step.description}});
     return reply(200,
                  {{"instance", state.settings.name},
                   {"request", trace->requestId},
--- a/src/entry/rule-filters.cc
+++ b/src/entry/rule-filters.cc
@@ -36,7 +36,7 @@
         exchange.streaming = exchange.service->isStreaming;
         if (exchange.prompt.tokens > 0)
             exchange.urgency = urgencyOf(exchange);
-        exchange.prefix = sharedPrefix(exchange.prompt);
+        exchange.prefixHash = sharedPrefix(exchange.prompt);
         exchange.fingerprint
             = hash128Hex(exchange.host + request.path, request.query, request.body.text());
         return std::nullopt;
@@ -51,11 +51,12 @@
             const auto found = config.customers.find(name);
             return found == config.customers.end() ? nullptr : &found->second;
         };
-        if (exchange.customerName)
-            return exchange.customerName->empty() ? nullptr : named(*exchange.customerName);
-        const Customer *owner = exchange.key.empty() || exchange.fromPeer || !config.requiresKeys
+        if (exchange.forwardedCustomer)
+            return exchange.forwardedCustomer->empty() ? nullptr
+                                                       : named(*exchange.forwardedCustomer);
+        const Customer *owner = exchange.apiKey.empty() || exchange.fromPeer || !config.requiresKeys
             ? nullptr
-            : findCustomerByKey(config, exchange.key);
+            : findCustomerByKey(config, exchange.apiKey);
         if (owner == nullptr && (exchange.service->allowsAnonymous || !config.requiresKeys))
             return named(std::string(anonymousCustomerName));
         return owner;
@@ -82,7 +83,7 @@
             return 0;
         std::uint64_t hash = 0;
         for (std::size_t i = 0; i + 1 < prompt.parts.size(); ++i)
-            hash = hash64(std::to_string(prompt.parts[i].name), hash);
+            hash = hash64(std::to_string(prompt.parts[i].hash), hash);
         return hash;
     }
 
@@ -95,8 +96,8 @@
     std::optional<Refusal> apply(Exchange &exchange) override
     {
         Duration wait = exchange.service->deadline;
-        if (exchange.callerWait)
-            wait = std::min(wait, *exchange.callerWait);
+        if (exchange.callerTimeout)
+            wait = std::min(wait, *exchange.callerTimeout);
         if (wait.count() <= 0)
             return Refusal{ResultCode::deadlinePassed, "", {}};
         exchange.deadline = exchange.arrived + wait;
--- a/src/entry/silent-server-monitor.cc
+++ b/src/entry/silent-server-monitor.cc
@@ -196,7 +196,7 @@
     target.name = name;
     target.incarnation = view.incarnation;
     const bool healthy
-        = answer.response.status == statusOk && m_protocol.showsSameRun(target, answer);
+        = answer.response.status == statusOk && m_protocol.isSameIncarnation(target, answer);
     if (!healthy || m_silent.count(name) == 0)
         return {};
     restoreWithoutResponse(view, "health check");
--- a/src/entry/state.h
+++ b/src/entry/state.h
@@ -64,7 +64,7 @@
 
     Metrics metrics;
     BurnCounter burn;
-    TraceBook traces;
+    RecentTraces traces;
 
     // After this nobody has said for long that the configuration in force is the newest. The end of
     // time where no store tells.
--- a/src/entry/trace.h
+++ b/src/entry/trace.h
@@ -13,7 +13,7 @@
 struct TraceStep
 {
     long long atMs = 0; // since the request arrived
-    std::string what;
+    std::string description;
     bool operator==(const TraceStep &) const = default;
 };
 
@@ -29,17 +29,17 @@
 };
 
 // The latest traces of this instance, oldest dropped first. Holds no request text. Thread safe.
-class TraceBook
+class RecentTraces
 {
 public:
-    explicit TraceBook(std::size_t kept) : m_kept(kept) { }
+    explicit RecentTraces(std::size_t capacity) : m_capacity(capacity) { }
 
     void add(Trace trace)
     {
         const std::lock_guard lock(m_mutex);
         m_order.push_back(trace.requestId);
         m_traces[trace.requestId] = std::move(trace);
-        if (m_order.size() > m_kept) {
+        if (m_order.size() > m_capacity) {
             m_traces.erase(m_order.front());
             m_order.pop_front();
         }
@@ -53,7 +53,7 @@
     }
 
 private:
-    std::size_t m_kept;
+    std::size_t m_capacity;
     mutable std::mutex m_mutex;
     std::deque<std::string> m_order;
     std::map<std::string, Trace> m_traces;
