--- a/include/ibisnotch/config.h
+++ b/include/ibisnotch/config.h
@@ -1,5 +1,5 @@
-// The shared configuration: one base file and an overlay for each site (a region), checked for all
-// sites before it is accepted.
+// The shared configuration: one base file and one overlay per site, where a site is a region. It is
+// checked for all sites before it becomes active.
 #pragma once
 
 #include <cstdint>
@@ -17,12 +17,13 @@
 
 enum class ServiceKind { model, application };
 
+// Weights of the terms by which a backend server or region is chosen.
 struct Weights
 {
     double tailLatency = 1;
     double cost = 1;
     double sentAway = 1;
-    bool lateIsUndelivered = false;
+    bool lateIsUndelivered = false; // a late answer counts as not delivered
     bool operator==(const Weights &) const = default;
 };
 
@@ -33,30 +34,31 @@
     bool operator==(const Region &) const = default;
 };
 
-// What a customer may use, by all instances together.
+// Limit on the usage of one customer, across all instances.
 struct UsageCap
 {
-    bool countsTokens = false; // whether the cap counts tokens; otherwise requests
+    bool countsTokens = false; // true: counts tokens; false: counts requests
     double perSecond = 0;
-    double burst = 0; // beside that, once
-    double plainTokens = 0; // what a request counts that names no tokens
+    double burst = 0; // amount allowed once in addition to the rate
+    double plainTokens = 0; // tokens charged to a request that states no token count
     bool operator==(const UsageCap &) const = default;
 };
 
 struct Customer
 {
     std::string name;
-    std::vector<std::string> keyHashes; // SHA-256 of each of its bearer tokens, in hex
-    std::vector<std::string> regions; // empty: all
-    std::vector<std::string> services; // empty: all
-    double share = 1; // its part when capacity is short, against the others' shares
-    std::optional<int> priority; // of all its requests, before that of the service
+    std::vector<std::string> keyHashes; // SHA-256 of each bearer token, in hex
+    std::vector<std::string> regions; // where its requests may run; empty: all
+    std::vector<std::string> services; // that it may use; empty: all
+    double share = 1; // weight among all customers when capacity is short
+    std::optional<int> priority; // takes precedence over the service's priority
     std::optional<UsageCap> usageCap;
-    bool anonymous = false; // stands for callers who need no key
+    bool anonymous = false; // represents callers without a key
     bool operator==(const Customer &) const = default;
 };
 
-// Requests of this host whose path begins with the prefix; the longest prefix of a host wins.
+// Matches requests to this host whose path begins with the prefix. The longest matching prefix
+// wins.
 struct PathRule
 {
     std::string host;
@@ -64,7 +66,7 @@
     bool operator==(const PathRule &) const = default;
 };
 
-// A pool that runs a service's requests, and its part of them.
+// A pool that runs requests of a service, and its weight among the service's pools.
 struct PoolShare
 {
     std::string pool;
@@ -79,39 +81,41 @@
     std::string model; // model services only
     std::string method; // application services only
     std::string path; // application services only
-    bool idempotent = true; // false: a booking
-    Duration deadline{}; // when the caller gives none
-    Duration expectedDuration{}; // of one run, typically
-    double worth = 1;
-    int priority = 1; // 0 is most urgent
-    std::vector<std::string> regions; // empty: all
+    bool idempotent = true; // false: a booking, which must not run twice
+    Duration deadline{}; // default, and upper bound for deadlines from callers
+    Duration expectedDuration{}; // typical duration of one run
+    double worth = 1; // of an answer in time
+    int priority = 1; // 0 is the most urgent
+    std::vector<std::string> regions; // where it may run; empty: all
     bool allowsAnonymous = false; // whether callers may omit the key
-    double objective = 0.99; // share of requests to be served in time
-    // The rest serves deployments that route by host and path. Without a rule, the service is asked
-    // for by its name or model.
+    double objective = 0.99; // share of requests that should be served in time
+    // The members below are for deployments that route by host and path. Without a path rule,
+    // callers select the service by its name or model.
     std::optional<PathRule> pathRule;
-    std::vector<PoolShare> pools; // empty: servers name the services or models they offer
-    Duration targetLatency{}; // in which an answer, or the first event of a stream, is worth most
-    int maxAttempts = 3; // backend servers that may run one request
-    bool isStreaming = false; // answered by a stream of numbered events
-    bool isResumable = false; // a stream may go on at another server after its last event
-    Duration maxEventGap{}; // between two events of a stream that is still in time; 0: any
+    std::vector<PoolShare> pools; // empty: servers list the services or models they offer
+    Duration targetLatency{}; // aim for the answer or the first event of a stream
+    int maxAttempts = 3; // maximum number of backend servers that may run one request
+    bool isStreaming = false; // answers are streams of numbered events
+    bool isResumable = false; // another server can continue a stream after its last event
+    Duration maxEventGap{}; // between two events of a stream that is in time; 0: unlimited
     bool operator==(const Service &) const = default;
 };
 
-// Backend servers that stand in for each other, listed by the platform while they live.
+// Interchangeable backend servers. The platform lists them while they run.
 struct Pool
 {
     std::string name;
     ServiceKind kind = ServiceKind::application;
     std::string healthPath;
-    int maxConnections = 0; // of one server, from all instances together
-    double warmupRate = 0; // requests a second that a cold server bears; 0: it is never cold
-    std::int64_t cacheTokens = 0; // of one model engine, for running requests and kept prompts
+    int maxConnections = 0; // to one server, from all instances together
+    // Requests per second that a cold server sustains; 0: servers are never cold.
+    double warmupRate = 0;
+    // Capacity of one model engine's KV cache, which holds running requests and cached prompts.
+    std::int64_t cacheTokens = 0;
     bool operator==(const Pool &) const = default;
 };
 
-// What a model engine should hold.
+// Model that a model engine should have loaded.
 struct Placement
 {
     std::string model;
@@ -127,13 +131,13 @@
     ServiceKind kind = ServiceKind::model;
     std::string dataCentre;
     std::string address; // IP:port
-    std::string pool; // empty: see models and services
-    int slots = 8; // requests it runs at once
-    std::vector<std::string> models; // model engines
-    std::vector<std::string> services; // application engines
+    std::string pool; // empty: the server offers `models` or `services`
+    int slots = 8; // requests that it runs concurrently
+    std::vector<std::string> models; // offered by a model engine
+    std::vector<std::string> services; // offered by an application engine
     double cost = 1; // of one slot for one second
-    bool checksFencing = false;
-    std::optional<Placement> placement; // none: its own affair
+    bool checksFencing = false; // whether it rejects stale fencing tokens
+    std::optional<Placement> placement; // empty: instances don't control what it loads
     bool operator==(const BackendServer &) const = default;
 };
 
@@ -144,15 +148,16 @@
     Duration headerTimeout = std::chrono::seconds(60);
     Duration idleTimeout = std::chrono::seconds(60);
     double retryShare = 0.1; // retries per request
-    double queueFactor = 2; // outstanding requests per slot before a refusal
+    double queueFactor = 2; // outstanding requests per slot at which requests are rejected
+    // Time by which another region must be faster before a request is forwarded there.
     Duration awayMargin = std::chrono::milliseconds(200);
-    int bookingShards = 16; // claim pages per hour; fixed for the life of a deployment
+    int bookingShards = 16; // claim pages per hour; can't change in a deployment
     Duration bookingKeyLifetime = std::chrono::hours(24);
-    double weightLoadsPerMinute = 4; // of the whole deployment
+    double weightLoadsPerMinute = 4; // loads of model weights in the whole deployment
     bool operator==(const Limits &) const = default;
 };
 
-// What one site has in force.
+// The configuration of one site.
 struct FleetConfig
 {
     std::uint64_t version = 0;
@@ -161,9 +166,8 @@
     Weights weights;
     Limits limits;
     std::vector<Region> regions;
-    Duration regionOneWay = std::chrono::milliseconds(80);
-    bool requiresKeys
-        = true; // callers must send a key, except to services that allow anonymous ones
+    Duration regionOneWay = std::chrono::milliseconds(80); // one-way delay between regions
+    bool requiresKeys = true; // except for services that allow anonymous callers
     std::map<std::string, Customer> customers;
     std::map<std::string, Service> services;
     std::map<std::string, Pool> pools;
@@ -178,64 +182,69 @@
     bool operator==(const ConfigFile &) const = default;
 };
 
-// The document kept in the store: sources, not results, so that an older instance can read it.
+// The document kept in the store. It contains the source files instead of parsed settings, so that
+// older instances can read it.
 struct ConfigDocument
 {
     std::uint64_t version = 0;
     std::string author;
     std::string note;
     ConfigFile base;
-    std::map<std::string, ConfigFile> overlays; // by site
+    std::map<std::string, ConfigFile> overlays; // key: site
     bool operator==(const ConfigDocument &) const = default;
 };
 
 std::string serializeDocument(const ConfigDocument &document);
 absl::StatusOr<ConfigDocument> parseDocument(std::string_view text);
 
-// Merged settings of one site, with origins.
+// Returns the merged settings of one site, with the origin of each value.
 absl::StatusOr<SettingNode> effectiveSettings(const ConfigDocument &document,
                                               const std::string &site);
 
-// Parses and checks one site. Fails with one line a fault.
+// Parses and checks the configuration of one site. Fails with one line per error.
 absl::StatusOr<FleetConfig> parseFleetConfig(const ConfigDocument &document,
                                              const std::string &site);
 
-// Checks every site, the rules that span sites, and what may not change against the version now in
-// force (null at first). Returns the configuration of each site.
+// Checks every site, the rules that span sites, and the settings that must not change from the
+// active version (null if there is none). Returns the configuration of each site.
 absl::StatusOr<std::map<std::string, FleetConfig>> validateDocument(const ConfigDocument &document,
                                                                     const ConfigDocument *active);
 
-// The customer whose key this is, or null. Takes as long whether a key is known or not.
+// Returns the customer with this key, or null. Takes the same time for known and unknown keys, so
+// that the duration reveals nothing about keys.
 const Customer *findCustomerByKey(const FleetConfig &config, std::string_view key);
 
-// What a request is ordered by, where several wait: its customer's priority if that has one, then
-// the service's. 0 is most urgent.
+// Returns the priority of a request among waiting requests: ordered by the customer's priority if
+// it has one, then by the service's. 0 is the most urgent.
 int requestPriority(const Customer &customer, const Service &service);
 
-// The regions where a customer's request for a service may run, in configuration order.
+// Returns the regions where a customer's request for a service may run, in configuration order.
 std::vector<std::string> allowedRegions(const FleetConfig &config, const Customer &customer,
                                         const Service &service);
 
-// Fills in what a format leaves open: the usual time of one run, taken as half of the time in which
-// an answer is expected.
+// Sets the expected duration of services for which the configuration format has none to half of the
+// target latency.
 void fillServiceDefaults(FleetConfig &config);
 
-// The service whose rule fits best, or null.
+// Returns the service with the longest matching path rule, or null.
 const Service *findServiceByPath(const FleetConfig &config, std::string_view host,
                                  std::string_view path);
 
-// How many services may run in each region.
+// Returns the number of services that may run in each region.
 std::map<std::string, int> countAllowedServices(const FleetConfig &config);
 
-// The pool of a service that a number in [0, 1) falls to; empty for a service without pools.
+// Returns the pool that a uniform random number in [0, 1) selects by weight; empty if the service
+// has no pools.
 std::string selectPool(const Service &service, double uniform);
 
+// Returns whether the backend server runs requests of the service.
 bool servesService(const BackendServer &server, const Service &service);
 
-// Under which the anonymous customer stands among the others; no customer has this name.
+// Key of the anonymous customer in FleetConfig::customers. No other customer can have this name.
 constexpr std::string_view anonymousCustomerName = "";
 
-// Whose requests are those that come without a key, where a service is open or no keys are shown.
+// Returns the customer to which requests without a key belong, if the service allows anonymous
+// callers or the configuration requires no keys.
 Customer makeAnonymousCustomer();
 
 std::string sha256Hex(std::string_view text);
--- a/include/ibisnotch/process-settings.h
+++ b/include/ibisnotch/process-settings.h
@@ -1,4 +1,5 @@
-// Settings of one process: its name, place and addresses. Apart from the shared configuration.
+// Settings of one process, such as its name, region and addresses. They are separate from the
+// shared configuration.
 #pragma once
 
 #include <cstdint>
@@ -21,9 +22,10 @@
     auto operator<=>(const Address &) const = default;
 };
 
+// Parses "IP:port".
 absl::StatusOr<Address> parseAddress(const std::string &text);
 
-// Whose interfaces an instance speaks.
+// Protocol and formats that an instance uses: those of this project, or those of the platform.
 enum class Interfaces { own, platform };
 
 struct ProcessSettings
@@ -34,28 +36,31 @@
     Address callerAddress;
     Address peerAddress;
     Address gossipAddress;
-    std::string storeAddress; // IP:port of the platform's key-value service
+    std::string storeAddress; // IP:port of the key-value store
     std::vector<std::string> seeds; // gossip addresses of some other instances
     Interfaces interfaces = Interfaces::own;
-    // Only with the platform's interfaces, which know no admin port and no list of regions.
+    // The members up to drainAcceptTime are only read with the platform's interfaces, which have no
+    // admin port and no list of regions in the configuration.
     Address readyAddress;
     Address directoryAddress;
     Address metricsAddress;
     std::vector<Region> regions;
+    // Time for which callers may use an answer of the directory.
     Duration entryListTtl = std::chrono::seconds(2);
-    // Retries of one pool by all instances together: a share of its requests, and this many more in
-    // any ten seconds.
+    // Retries to one pool by all instances together: retryShare of its requests, and retrySlack
+    // more in any ten seconds.
     double retryShare = 0.1;
     double retrySlack = 45;
-    double usageSlack = 0; // tolerated beyond any customer's usage cap, in the cap's units
-    WarmupBound warmup; // what a cold server bears beside its pool's rate
-    // How long a stopping instance goes on taking requests. Callers that choose an instance by the
-    // directory come until their copy of its answer is old; what is taken later than this might not
-    // end before the process is killed.
+    double usageSlack = 0; // usage tolerated above each customer's cap, in the cap's unit
+    WarmupBound warmup; // load that a cold server sustains, relative to its pool's rate
+    // Time for which a stopping instance still accepts requests. Callers that found it in the
+    // directory continue to use it until their copy of the list expires. Requests accepted later
+    // than this might not finish before the process is killed.
     Duration drainAcceptTime{};
     int workers = 2;
     int maxConnections = 20000;
     Duration idleTimeout = std::chrono::seconds(60);
+    // Time for which a stopping instance waits for running requests.
     Duration drainTime = std::chrono::seconds(120);
     std::string logLevel = "info";
     bool operator==(const ProcessSettings &) const = default;
@@ -64,6 +69,7 @@
 absl::StatusOr<ProcessSettings> parseProcessSettings(std::string_view text,
                                                      const std::string &file);
 
+// Returns the contents of a file.
 absl::StatusOr<std::string> readFile(const std::string &path);
 
 } // namespace ibisnotch
--- a/include/ibisnotch/result-code.h
+++ b/include/ibisnotch/result-code.h
@@ -1,4 +1,4 @@
-// The numbered results that callers see, and the one table that describes them.
+// Numeric result codes of requests, and the table that describes each.
 #pragma once
 
 #include <span>
@@ -47,7 +47,7 @@
     deadlineExceeded = 5004,
 };
 
-// Whether the request reached a backend server that may have acted on it.
+// Whether a backend server has run the request.
 enum class RunState { run, notRun, unknown };
 
 struct ResultInfo
@@ -56,20 +56,20 @@
     std::string_view name;
     int httpStatus;
     RunState runState;
-    std::string_view advice;
+    std::string_view advice; // what the caller should do
 
     bool operator==(const ResultInfo &) const = default;
 };
 
-// All codes, in ascending order.
+// Returns all codes in ascending order.
 std::span<const ResultInfo> resultTable();
 
 const ResultInfo &resultInfo(ResultCode code);
 
 std::string_view runStateName(RunState run);
 
-// An error whose payload carries the result code, and back. A status without one maps to
-// ResultCode::malformedRequest, since only parse functions return such statuses.
+// Convert a result code to an error with the code as payload, and back. A status without a code
+// maps to ResultCode::malformedRequest, since only parse functions return such statuses.
 absl::Status makeStatus(ResultCode code, std::string_view message);
 ResultCode resultCodeOf(const absl::Status &status);
 
--- a/include/ibisnotch/settings.h
+++ b/include/ibisnotch/settings.h
@@ -1,4 +1,5 @@
-// Settings trees: YAML text with the origin of each value, merged from a base and an overlay.
+// Trees of settings, parsed from YAML with the origin of each value. An overlay can be merged into
+// a base.
 #pragma once
 
 #include <map>
@@ -33,18 +34,19 @@
     bool operator==(const SettingNode &) const = default;
 };
 
-// Parses YAML text. The file name serves messages only. Fails on broken YAML and on a key given
-// twice, with file and line.
+// Parses YAML text. The file name is only used in messages. Fails on invalid YAML and on duplicate
+// keys, with file and line.
 absl::StatusOr<SettingNode> parseSettings(std::string_view text, const std::string &file);
 
-// Maps merge key by key; any other value of the overlay replaces that of the base.
+// Merges maps key by key. Any other value of the overlay replaces the value of the base.
 SettingNode mergeSettings(const SettingNode &base, const SettingNode &overlay);
 
-// One line a value: "path = value  # file:line".
+// Returns one line per value: "path = value  # file:line".
 std::string printSettings(const SettingNode &root);
 
-// Reads one map, and notes what is missing, wrong or unknown. All faults of a file are reported
-// together, each as "file:line: path: what is wrong; what would be right".
+// Reads the values of one map. Missing, invalid and unknown keys are appended to a list of errors,
+// so that all errors of a file are reported together. Each reads "file:line: path: problem;
+// remedy".
 class SettingReader
 {
 public:
@@ -61,11 +63,12 @@
     std::string choice(const std::string &key, const std::string &fallback,
                        const std::vector<std::string> &allowed);
 
-    // The child maps of a key, by name.
+    // Returns readers for the maps below a key, with their names.
     std::vector<std::pair<std::string, SettingReader>> children(const std::string &key);
+    // Returns a reader for the map of a key, which is empty if the key is missing.
     SettingReader child(const std::string &key);
 
-    // Reports keys that nobody asked for. Call last.
+    // Reports keys that were not requested by any read. Call last.
     void finish();
     void fail(const std::string &key, const std::string &message);
 
@@ -80,7 +83,7 @@
     std::set<std::string> m_requestedKeys;
 };
 
-// "250ms", "20s", "5m", "2h".
+// Parses durations such as "250ms", "20s", "5m" and "2h".
 absl::StatusOr<Duration> parseDuration(std::string_view text);
 
 } // namespace ibisnotch
--- a/src/decide/config-check.cc
+++ b/src/decide/config-check.cc
@@ -1,4 +1,4 @@
-// Checks a configuration for all sites together, and against the version in force.
+// Checks a configuration for all sites together, and against the active version.
 #include <fmt/format.h>
 
 #include "config-detail.h"
@@ -21,6 +21,8 @@
     });
 }
 
+// Checks that each customer names known services, and that a backend server in an allowed region
+// runs each of them.
 void checkCustomerRules(const Sites &sites, const FleetConfig &config, const std::string &file,
                         std::vector<std::string> &errors)
 {
@@ -42,8 +44,9 @@
     }
 }
 
-// Residency must be one rule for the whole deployment: if sites disagreed, the sender's check and
-// the receiver's check would be two different checks.
+// Checks that all sites have the same rules for residency, idempotence and booking keys. If
+// residency differed between sites, the sender and the receiver of a request would check different
+// rules.
 void checkSameRules(const Sites &sites, std::vector<std::string> &errors)
 {
     const FleetConfig &first = sites.begin()->second;
@@ -75,8 +78,9 @@
     }
 }
 
-// A booking key is found by its shard. If the number of shards changed, an old key would be looked
-// for on another page, found unclaimed there, and its booking would run a second time.
+// Checks the settings that must not change. The claim of a booking key is found by its shard: if
+// the number of shards changed, an old key would be looked up on another page, where it is
+// unclaimed, and its booking would run a second time.
 void checkAgainstActive(const Sites &sites, const ConfigDocument &active,
                         std::vector<std::string> &errors)
 {
--- a/src/decide/config-detail.h
+++ b/src/decide/config-detail.h
@@ -1,4 +1,4 @@
-// What the parts of the configuration share: reading, checks over all sites, and look-ups.
+// Functions shared by reading, checking and querying the configuration.
 #pragma once
 
 #include <algorithm>
@@ -17,6 +17,7 @@
     return std::find(list.begin(), list.end(), item) != list.end();
 }
 
+// Returns whether a list of allowed items permits the item; an empty list permits all.
 inline bool allows(const std::vector<std::string> &list, const std::string &item)
 {
     return list.empty() || contains(list, item);
@@ -28,7 +29,7 @@
                        [&name](const Region &region) { return region.name == name; });
 }
 
-// One line a fault.
+// Returns an error with one line per message.
 inline absl::Status makeErrorStatus(const std::vector<std::string> &errors)
 {
     return absl::InvalidArgumentError(absl::StrJoin(errors, "\n"));
--- a/src/decide/config-read.cc
+++ b/src/decide/config-read.cc
@@ -1,4 +1,4 @@
-// Reads one site's configuration from its merged settings.
+// Reads the configuration of one site from its merged settings.
 #include <fmt/format.h>
 
 #include "config-detail.h"
@@ -68,7 +68,8 @@
         && text.find_first_not_of("0123456789abcdef") == std::string::npos;
 }
 
-// Of one token or of several, so that a customer can change to a new one while the old one holds.
+// Reads the hash of one token or of several, so that a customer can switch to a new token while the
+// old one is still valid.
 void readKeys(SettingReader &reader, Customer &customer,
               std::map<std::string, std::string> &ownersByHash)
 {
@@ -113,7 +114,7 @@
 
 void readCustomers(SettingReader &root, FleetConfig &config)
 {
-    std::map<std::string, std::string> ownersByHash; // of key hashes
+    std::map<std::string, std::string> ownersByHash; // customers by key hash
     for (auto &[name, reader] : root.children("customers")) {
         Customer customer;
         customer.name = name;
--- a/src/decide/config.cc
+++ b/src/decide/config.cc
@@ -40,7 +40,7 @@
             document.overlays[site] = {file.at("name"), file.at("text")};
         return document;
     } catch (const nlohmann::json::exception &error) {
-        return absl::InvalidArgumentError(fmt::format("broken document: {}", error.what()));
+        return absl::InvalidArgumentError(fmt::format("invalid document: {}", error.what()));
     }
 }
 
@@ -64,7 +64,7 @@
 {
     const std::string hash = sha256Hex(key);
     const Customer *owner = nullptr;
-    // All are compared, each in the same time, so that the time tells nothing of a key.
+    // Compares all hashes in constant time, so that the duration reveals nothing about keys.
     for (const auto &[name, customer] : config.customers) {
         for (const std::string &known : customer.keyHashes) {
             const bool same = known.size() == hash.size()
@@ -78,17 +78,20 @@
 Customer makeAnonymousCustomer()
 {
     Customer customer;
-    customer.name = "callers"; // in logs and metrics
+    customer.name = "callers"; // shown in logs and metrics
     customer.anonymous = true;
     return customer;
 }
 
 int requestPriority(const Customer &customer, const Service &service)
 {
-    constexpr int perCustomer = 3; // services whose priority is below that are alike
+    // Each priority of a customer has three levels for its services. Services with priority 2 or
+    // more share the last level.
+    constexpr int levelsPerCustomer = 3;
     if (!customer.priority)
         return service.priority;
-    return *customer.priority * perCustomer + std::min(service.priority, perCustomer - 1);
+    return *customer.priority * levelsPerCustomer
+        + std::min(service.priority, levelsPerCustomer - 1);
 }
 
 std::vector<std::string> allowedRegions(const FleetConfig &config, const Customer &customer,
--- a/src/decide/process-settings.cc
+++ b/src/decide/process-settings.cc
@@ -27,7 +27,7 @@
 
 namespace {
 
-// Data centres with their regions, for deployments whose configuration does not name them.
+// Reads the data centres and their regions, for deployments whose configuration doesn't list them.
 std::vector<Region> readRegions(SettingReader &reader)
 {
     std::map<std::string, std::vector<std::string>> dataCentres;
@@ -59,7 +59,7 @@
     settings.warmup.factor = warmup.number("factor", 1, 0, maxSlack);
     settings.warmup.slack = warmup.number("slack", 0, 0, maxSlack);
     warmup.finish();
-    // Time for the process to end by itself before it is killed.
+    // Time between the end of the drain and the kill in which the process can exit by itself.
     constexpr Duration exitMargin = std::chrono::milliseconds(700);
     settings.drainTime = reader.duration("killedAfter", settings.drainTime) - exitMargin;
     SettingReader retries = reader.child("retries");
--- a/src/decide/settings.cc
+++ b/src/decide/settings.cc
@@ -9,6 +9,7 @@
 
 namespace {
 
+// Converts YAML nodes to settings and keeps the first duplicate key as the error.
 class TreeBuilder
 {
 public:
@@ -36,7 +37,7 @@
         for (const auto &entry : node) {
             const std::string key = entry.first.as<std::string>();
             SettingNode value = build(entry.second);
-            // The position of the key reads better than that of a nested map's first line.
+            // Messages name the line of the key rather than the first line of a nested map.
             value.origin.line = entry.first.Mark().line + 1;
             if (!result.map.emplace(key, std::move(value)).second && m_error.empty())
                 m_error = fmt::format("{}:{}: {}: key given twice; keep one", m_file,
