--- a/test/config-fixture.h
+++ b/test/config-fixture.h
@@ -1,4 +1,4 @@
-// A small configuration for tests: three regions, two customers, a service of each kind.
+// A small configuration for tests: three regions, two customers, one service of each kind.
 #pragma once
 
 #include <string>
@@ -42,6 +42,8 @@
             + "1, address: \"127.0.0.1:2\", slots: 4, services: [order]}\n";
     }
 
+    // Returns a copy with this version, whose note and overlay of site b differ from other
+    // versions.
     ConfigDocument withVersion(std::uint64_t number) const
     {
         ConfigDocument copy = document;
--- a/test/config-test.cc
+++ b/test/config-test.cc
@@ -9,7 +9,7 @@
 
 namespace {
 
-struct WrongSettings : ConfigFixture
+struct InvalidSettingsFixture : ConfigFixture
 {
     std::string messageFor(const std::string &from, const std::string &to)
     {
@@ -25,7 +25,7 @@
 
 } // namespace
 
-TEST_CASE_METHOD(ConfigFixture, "validateDocument_ofTheFixture_givesEachSite")
+TEST_CASE_METHOD(ConfigFixture, "validateDocument_validDocument_returnsEachSite")
 {
     const auto sites = validateDocument(document, nullptr);
     REQUIRE(sites.ok());
@@ -34,7 +34,8 @@
     CHECK(sites->at("b").servers.count("a-m") == 0);
 }
 
-TEST_CASE_METHOD(WrongSettings, "validateDocument_wrongSettings_nameFileLineKeyAndWhatIsRight")
+TEST_CASE_METHOD(InvalidSettingsFixture,
+                 "validateDocument_invalidSettings_nameFileLineKeyAndRemedy")
 {
     CHECK(messageFor("deadline: 10s", "deadline: 10")
               .find("base.yaml:7: services.digest.deadline: expected a duration with a unit")
@@ -64,7 +65,7 @@
           != std::string::npos);
 }
 
-TEST_CASE_METHOD(ConfigFixture, "validateDocument_residencyThatLeavesNoServer_isRefused")
+TEST_CASE_METHOD(ConfigFixture, "validateDocument_residencyWithoutServer_isRejected")
 {
     document.overlays["a"].text = "backendServers: {}\n";
     const auto sites = validateDocument(document, nullptr);
@@ -74,9 +75,9 @@
           != std::string::npos);
 }
 
-// What the caller sees: data stays home. In what order: an overlay changes a residency rule for one
-// site alone. Why: sender and receiver must check the same rule, so sites may not differ in it.
-TEST_CASE_METHOD(ConfigFixture, "validateDocument_residencyThatDiffersBetweenSites_isRefused")
+// Guards against data that leaves its region: if an overlay changed a residency rule for one site
+// only, the sender and the receiver of a request would check different rules.
+TEST_CASE_METHOD(ConfigFixture, "validateDocument_residencyDiffersBetweenSites_isRejected")
 {
     document.overlays["b"].text += "customers:\n  homed: {regions: [a, b]}\n";
     const auto sites = validateDocument(document, nullptr);
@@ -84,16 +85,16 @@
     CHECK(sites.status().message().find("residency differs between sites") != std::string::npos);
 }
 
-TEST_CASE_METHOD(ConfigFixture, "parseDocument_ofSerialized_givesItBack")
+TEST_CASE_METHOD(ConfigFixture, "parseDocument_serializedDocument_returnsTheOriginal")
 {
     CHECK(*parseDocument(serializeDocument(document)) == document);
     CHECK_FALSE(parseDocument("{\"version\":1}").ok());
     CHECK_FALSE(parseDocument("").ok());
 }
 
-TEST_CASE_METHOD(ConfigFixture, "allowedRegions_always_areThoseOfBothRules")
+TEST_CASE_METHOD(ConfigFixture, "allowedRegions_anyRules_satisfyCustomerAndService")
 {
-    rc::prop("subset of both lists", [this] {
+    rc::prop("each allowed region is in both lists", [this] {
         const auto config = *parseFleetConfig(document, "a");
         const auto lists = rc::gen::container<std::vector<std::string>>(
             rc::gen::element<std::string>("a", "b", "c", "elsewhere"));
@@ -112,15 +113,15 @@
     });
 }
 
-TEST_CASE_METHOD(ConfigFixture, "effectiveSettings_always_nameTheOriginOfEachValue")
+TEST_CASE_METHOD(ConfigFixture, "effectiveSettings_anySite_nameTheOriginOfEachValue")
 {
     const std::string printed = printSettings(*effectiveSettings(document, "b"));
     CHECK(printed.find("deployment = test  # base.yaml:1") != std::string::npos);
     CHECK(printed.find("backendServers.b-m.slots = 4  # sites/b.yaml:2") != std::string::npos);
 }
 
-// Guards against keys and caps that cannot be meant as they stand.
-TEST_CASE_METHOD(WrongSettings, "validateDocument_wrongKeysAndCaps_nameTheField")
+// Guards against keys and usage caps that are ambiguous or have no effect.
+TEST_CASE_METHOD(InvalidSettingsFixture, "validateDocument_invalidKeysAndCaps_nameTheField")
 {
     const std::string free = "free: {tokenSha256: " + sha256Hex("free-token");
     const std::string homed = sha256Hex("homed-token");
@@ -139,7 +140,7 @@
           != std::string::npos);
 }
 
-TEST_CASE_METHOD(ConfigFixture, "validateDocument_customerWithTwoKeysAndACap_holdsBoth")
+TEST_CASE_METHOD(ConfigFixture, "validateDocument_customerWithTwoKeysAndACap_readsAll")
 {
     const std::string free = "free: {tokenSha256: " + sha256Hex("free-token");
     std::string &text = document.base.text;
--- a/test/docs-test.cc
+++ b/test/docs-test.cc
@@ -1,4 +1,4 @@
-// Pages that must agree with the code.
+// Checks that documentation pages and safeguards match the code.
 #include <filesystem>
 #include <fstream>
 #include <map>
@@ -15,27 +15,28 @@
 
 namespace {
 
-std::string page(const std::string &name)
+std::string readPage(const std::string &name)
 {
     const auto text = readFile(std::string(IBISNOTCH_SOURCE_DIR) + "/" + name);
     REQUIRE(text.ok());
     return *text;
 }
 
-struct WrongFile
+// An edit that makes the example configuration invalid, and the error message it must produce.
+struct InvalidSetting
 {
     std::string file;
-    std::string line; // put in place of `from`, or at the end of the file
-    std::string from;
+    std::string replacement;
+    std::string original;
     std::string message;
 };
 
-// The rows of OPERATIONS.md between the marks "wrong settings" and "end": | file | from | to |
-// message |, each cell but the first in backticks.
-std::vector<WrongFile> wrongFiles()
+// Parses the table of OPERATIONS.md between the markers "wrong settings" and "end". Its columns are
+// | file | original | replacement | message |, each in backticks.
+std::vector<InvalidSetting> readInvalidSettings()
 {
-    std::vector<WrongFile> rows;
-    std::istringstream lines(page("docs/OPERATIONS.md"));
+    std::vector<InvalidSetting> rows;
+    std::istringstream lines(readPage("docs/OPERATIONS.md"));
     std::string line;
     bool inside = false;
     while (std::getline(lines, line)) {
@@ -70,9 +71,9 @@
 
 } // namespace
 
-TEST_CASE("resultCodesPage_always_agreesWithTheTable")
+TEST_CASE("resultCodesPage_allCodes_matchTheTable")
 {
-    const std::string text = page("docs/RESULT-CODES.md");
+    const std::string text = readPage("docs/RESULT-CODES.md");
     std::size_t rows = 0;
     for (std::size_t at = text.find("\n| "); at != std::string::npos;
          at = text.find("\n| ", at + 1))
@@ -87,29 +88,29 @@
     }
 }
 
-TEST_CASE("operatorsPage_wrongSettings_getTheMessagesItNames")
+TEST_CASE("operationsPage_invalidSettings_produceTheDocumentedMessages")
 {
-    const auto good = loadDocument(std::string(IBISNOTCH_SOURCE_DIR) + "/support/example");
-    REQUIRE(good.ok());
-    REQUIRE(validateDocument(*good, nullptr).ok());
-    const auto rows = wrongFiles();
+    const auto validDocument = loadDocument(std::string(IBISNOTCH_SOURCE_DIR) + "/support/example");
+    REQUIRE(validDocument.ok());
+    REQUIRE(validateDocument(*validDocument, nullptr).ok());
+    const auto rows = readInvalidSettings();
     CHECK(rows.size() >= 10);
-    for (const WrongFile &row : rows) {
-        INFO(row.file << ": " << row.line);
-        ConfigDocument draft = *good;
+    for (const InvalidSetting &row : rows) {
+        INFO(row.file << ": " << row.replacement);
+        ConfigDocument draft = *validDocument;
         std::string &text = fileOf(draft, row.file).text;
-        const std::size_t at = text.find(row.from);
+        const std::size_t at = text.find(row.original);
         REQUIRE(at != std::string::npos);
-        text.replace(at, row.from.size(), row.line);
-        const auto sites = validateDocument(draft, &*good);
+        text.replace(at, row.original.size(), row.replacement);
+        const auto sites = validateDocument(draft, &*validDocument);
         REQUIRE_FALSE(sites.ok());
         CHECK(std::string(sites.status().message()).find(row.message) != std::string::npos);
     }
 }
 
-TEST_CASE("proofsPage_testsItNames_exist")
+TEST_CASE("proofsPage_namedTests_exist")
 {
-    const std::string text = page("docs/PROOFS.md");
+    const std::string text = readPage("docs/PROOFS.md");
     std::string tests;
     for (const char *folder : {"/test", "/platform/test"}) {
         for (const auto &entry :
@@ -117,7 +118,7 @@
             tests += *readFile(entry.path().string());
     }
     std::size_t at = 0;
-    int named = 0;
+    int namedTests = 0;
     while ((at = text.find('`', at)) != std::string::npos) {
         const std::size_t end = text.find('`', at + 1);
         const std::string name = text.substr(at + 1, end - at - 1);
@@ -125,22 +126,22 @@
         // Test cases are named subject_condition_result.
         if (std::count(name.begin(), name.end(), '_') < 2 || name.find(' ') != std::string::npos)
             continue;
-        ++named;
+        ++namedTests;
         INFO(name);
         CHECK(tests.find("\"" + name + "\"") != std::string::npos);
     }
-    CHECK(named > 30);
+    CHECK(namedTests > 30);
 }
 
 namespace {
 
-// A block of safeguards.txt, by its fields.
+// One entry of safeguards.txt: field names and values.
 using Block = std::map<std::string, std::string>;
 
-std::vector<Block> safeguards()
+std::vector<Block> readSafeguards()
 {
     std::vector<Block> blocks(1);
-    std::istringstream lines(page("support/safeguards.txt"));
+    std::istringstream lines(readPage("support/safeguards.txt"));
     std::string line;
     while (std::getline(lines, line)) {
         const std::size_t colon = line.find(": ");
@@ -153,7 +154,7 @@
     return blocks;
 }
 
-std::string withLineBreaks(std::string text)
+std::string unescapeLineBreaks(std::string text)
 {
     std::size_t at = 0;
     while ((at = text.find("\\n", at)) != std::string::npos)
@@ -163,17 +164,17 @@
 
 } // namespace
 
-// Guards against entries that outlive the code that they take away.
-TEST_CASE("safeguards_eachEntry_namesWhatItsFileHolds")
+// Guards against entries that quote code which has changed or was removed.
+TEST_CASE("safeguards_allEntries_matchTheirFiles")
 {
-    const auto blocks = safeguards();
+    const auto blocks = readSafeguards();
     CHECK(blocks.size() > 50);
     for (const Block &block : blocks) {
         INFO(block.at("name"));
-        const std::string source = page(block.at("file"));
+        const std::string source = readPage(block.at("file"));
         for (const std::string field : {"with", "also"}) {
             if (const auto found = block.find(field); found != block.end())
-                CHECK(source.find(withLineBreaks(found->second)) != std::string::npos);
+                CHECK(source.find(unescapeLineBreaks(found->second)) != std::string::npos);
         }
     }
 }
--- a/test/process-settings-test.cc
+++ b/test/process-settings-test.cc
@@ -6,36 +6,37 @@
 
 namespace {
 
-const std::string good
+const std::string validSettings
     = "name: a1\nregion: a\ndataCentre: a-1\ncallers: \"127.0.0.1:1\"\n"
       "peers: \"127.0.0.1:2\"\ngossip: \"127.0.0.1:3\"\nstore: \"127.0.0.1:4\"\n";
 
-std::string fault(const std::string &text)
+std::string errorMessage(const std::string &text)
 {
     return std::string(parseProcessSettings(text, "a1.yaml").status().message());
 }
 
 } // namespace
 
-TEST_CASE("parseProcessSettings_ofAGoodFile_fillsDefaults")
+TEST_CASE("parseProcessSettings_validFile_setsDefaults")
 {
-    const auto settings = parseProcessSettings(good, "a1.yaml");
+    const auto settings = parseProcessSettings(validSettings, "a1.yaml");
     REQUIRE(settings.ok());
     CHECK(settings->callerAddress == Address{"127.0.0.1", 1});
     CHECK(settings->workers == 2);
     CHECK(settings->seeds.empty());
 }
 
-TEST_CASE("parseProcessSettings_ofWrongFiles_saysWhere")
+TEST_CASE("parseProcessSettings_invalidFiles_nameFileAndLine")
 {
-    CHECK(fault(good + "workers: 0\n").find("a1.yaml:8: workers: expected a whole number from 1")
+    CHECK(errorMessage(validSettings + "workers: 0\n")
+              .find("a1.yaml:8: workers: expected a whole number from 1")
           == 0);
-    CHECK(fault(good + "speed: 3\n").find("a1.yaml:8: speed: unknown key") == 0);
-    CHECK(fault("name: a@1\n").find("may not hold a space") != std::string::npos);
-    CHECK(fault("name: a1\n").find("callers: missing; give a value") != std::string::npos);
+    CHECK(errorMessage(validSettings + "speed: 3\n").find("a1.yaml:8: speed: unknown key") == 0);
+    CHECK(errorMessage("name: a@1\n").find("may not hold a space") != std::string::npos);
+    CHECK(errorMessage("name: a1\n").find("callers: missing; give a value") != std::string::npos);
 }
 
-TEST_CASE("parseAddress_ofText_needsHostAndPort")
+TEST_CASE("parseAddress_text_requiresHostAndPort")
 {
     CHECK(parseAddress("10.0.0.1:80")->text() == "10.0.0.1:80");
     for (const char *text : {"", "10.0.0.1", ":80", "10.0.0.1:", "10.0.0.1:0", "10.0.0.1:70000"})
--- a/test/result-code-test.cc
+++ b/test/result-code-test.cc
@@ -4,7 +4,7 @@
 
 using namespace ibisnotch;
 
-TEST_CASE("resultTable_always_isAscendingAndUnique")
+TEST_CASE("resultTable_allCodes_areAscendingAndUnique")
 {
     int last = 0;
     for (const ResultInfo &info : resultTable()) {
@@ -13,14 +13,14 @@
     }
 }
 
-TEST_CASE("makeStatus_withCode_givesTheCodeBack")
+TEST_CASE("makeStatus_withCode_preservesTheCode")
 {
     const absl::Status status = makeStatus(ResultCode::loopRefused, "came by here");
     CHECK(resultCodeOf(status) == ResultCode::loopRefused);
     CHECK(resultCodeOf(absl::InternalError("other")) == ResultCode::malformedRequest);
 }
 
-TEST_CASE("resultTable_codesFrom3000To3999_sayNotRun")
+TEST_CASE("resultTable_codesFrom2000To3999_areNotRun")
 {
     for (const ResultInfo &info : resultTable()) {
         const int number = static_cast<int>(info.code);
--- a/test/settings-test.cc
+++ b/test/settings-test.cc
@@ -6,7 +6,7 @@
 using namespace ibisnotch;
 using namespace std::chrono_literals;
 
-TEST_CASE("parseSettings_ofNestedMaps_keepsLinesOfKeys")
+TEST_CASE("parseSettings_nestedMaps_keepLinesOfKeys")
 {
     const auto root = parseSettings("a: 1\nb:\n  c: [x, y]\n", "f.yaml");
     REQUIRE(root.ok());
@@ -14,18 +14,18 @@
     CHECK(root->map.at("b").map.at("c").list.size() == 2);
 }
 
-TEST_CASE("parseSettings_ofBrokenText_namesFileAndLine")
+TEST_CASE("parseSettings_invalidText_namesFileAndLine")
 {
     CHECK(parseSettings("a: [1", "f.yaml").status().message().find("f.yaml:") == 0);
     CHECK_FALSE(parseSettings("", "f.yaml").ok());
     CHECK_FALSE(parseSettings("just text", "f.yaml").ok());
     CHECK(parseSettings("a: 1\na: 2\n", "f.yaml").status().message().find("f.yaml:2: a: key given")
           == 0);
-    rc::prop("no text crashes it",
+    rc::prop("no text makes the parser crash",
              [](const std::string &text) { (void)parseSettings(text, "f.yaml").ok(); });
 }
 
-TEST_CASE("mergeSettings_ofBaseAndOverlay_takesTheOverlayWhereItSpeaks")
+TEST_CASE("mergeSettings_baseAndOverlay_prefersValuesOfTheOverlay")
 {
     const auto base = *parseSettings("a: {x: 1, y: 2}\nb: [1]\n", "base");
     const auto overlay = *parseSettings("a: {y: 3}\nb: [2, 3]\n", "site");
@@ -34,7 +34,7 @@
     CHECK(mergeSettings(base, *parseSettings("c: 1\n", "site")).map.size() == 3);
 }
 
-TEST_CASE("settingReader_ofWrongValues_reportsAllTogether")
+TEST_CASE("settingReader_invalidValues_reportsAllErrors")
 {
     const auto root = *parseSettings("n: many\nd: 5\nf: maybe\nl: x\nextra: 1\nm: 7\n", "f");
     std::vector<std::string> errors;
@@ -50,7 +50,7 @@
     CHECK(errors.back().find("f:5: extra: unknown key; known here: absent, d, f, l, m, n") == 0);
 }
 
-TEST_CASE("parseDuration_ofUnits_isExact")
+TEST_CASE("parseDuration_allUnits_areExact")
 {
     CHECK(*parseDuration("250ms") == Duration(250ms));
     CHECK(*parseDuration("2h") == Duration(2h));
