--- a/include/ibisnotch/membership.h
+++ b/include/ibisnotch/membership.h
@@ -1,5 +1,5 @@
 // Which entry instances there are: failure detection by direct and indirect probes, suspicion,
-// refutation by a higher incarnation, and news carried along with the probes.
+// refutation by a higher incarnation, and updates carried along with the probes.
 #pragma once
 
 #include <cstdint>
@@ -48,20 +48,20 @@
     std::uint64_t sequence = 0;
     Member sender;
     Member target; // of a ping request
-    std::vector<Member> news;
+    std::vector<Member> updates;
 
     template <typename Archive> void serialize(Archive &archive)
     {
-        archive(kind, sequence, sender, target, news);
+        archive(kind, sequence, sender, target, updates);
     }
     bool operator==(const Probe &) const = default;
 };
 
-struct SendProbe
+struct OutgoingProbe
 {
     std::string address;
     Probe probe;
-    bool operator==(const SendProbe &) const = default;
+    bool operator==(const OutgoingProbe &) const = default;
 };
 
 struct MembershipSettings
@@ -71,17 +71,17 @@
     Duration suspicion = std::chrono::seconds(3);
     // A dead member is kept, and probed now and then, so that two sides of a healed partition find
     // each other again without an operator.
-    Duration forgetDead = std::chrono::hours(1);
+    Duration deadRetention = std::chrono::hours(1);
     // How long a dead member may still be sending to backend servers, cut off from us alone.
-    Duration mayStillSend = std::chrono::seconds(30);
+    Duration deadSenderGrace = std::chrono::seconds(30);
     int indirectProbes = 3;
     // The part of the probes that stays in the own region. Load reports travel with those, and a
     // region's instances need them within seconds however many other regions there are.
-    double localShare = 0.75;
-    std::size_t newsPerProbe = 8;
-    std::size_t fillers = 2;
+    double localProbeShare = 0.75;
+    std::size_t updatesPerProbe = 8;
+    std::size_t syncEntriesPerProbe = 2;
     // A gap between two ticks that shows that this process was frozen.
-    Duration freezeGap = std::chrono::seconds(3);
+    Duration stallThreshold = std::chrono::seconds(3);
 };
 
 // Decides probes and states. No I/O; not thread safe.
@@ -91,15 +91,15 @@
     Membership(Member self, std::vector<std::string> seeds, MembershipSettings settings);
 
     // Call several times a period. Returns what to send.
-    std::vector<SendProbe> tick(TimePoint now, Random &random);
-    std::vector<SendProbe> onProbe(const Probe &probe, const std::string &from, TimePoint now,
-                                   Random &random);
+    std::vector<OutgoingProbe> tick(TimePoint now, Random &random);
+    std::vector<OutgoingProbe> onProbe(const Probe &probe, const std::string &from, TimePoint now,
+                                       Random &random);
 
-    // What another instance says of a member, from any channel. True if it was news.
-    bool learn(const Member &member, TimePoint now);
+    // What another instance says of a member, from any channel. True if it was updates.
+    bool applyUpdate(const Member &member, TimePoint now);
 
-    // Sends our state at once to some members, for news that must not wait.
-    std::vector<SendProbe> spread(int fanout, Random &random);
+    // Sends our state at once to some members, for updates that must not wait.
+    std::vector<OutgoingProbe> broadcast(int fanout, Random &random);
 
     void leave();
     void setSeeds(std::vector<std::string> seeds) { m_seeds = std::move(seeds); }
@@ -107,29 +107,29 @@
 
     const Member &self() const { return m_self; }
     std::vector<Member> members() const; // without self
-    std::vector<Member> usable() const; // without self; alive only
+    std::vector<Member> aliveMembers() const; // without self; alive only
 
     // The instances of the own region that may be sending to its backend servers, self included.
     // One that was found dead may only be cut off, so it counts for some time longer.
-    std::vector<std::string> senders(TimePoint now) const;
+    std::vector<std::string> possibleSenders(TimePoint now) const;
 
     // True once a tick came late by more than the freeze gap; cleared by the call.
-    bool takeFreeze();
+    bool consumeStall();
 
 private:
     struct Entry
     {
         Member member;
-        TimePoint changed;
-        int spreadLeft = 0;
+        TimePoint changedAt;
+        int transmissionsLeft = 0;
     };
-    struct Waiting
+    struct PendingProbe
     {
         std::string name;
-        TimePoint ackBy;
+        TimePoint ackDeadline;
         bool indirect = false;
     };
-    struct Relay
+    struct RelayedProbe
     {
         std::string address;
         std::uint64_t sequence = 0;
@@ -137,19 +137,19 @@
     };
 
     Probe makeProbe(ProbeKind kind, std::uint64_t sequence);
-    void addFillers(Probe &probe);
-    void startProbe(TimePoint now, Random &random, std::vector<SendProbe> &out);
-    void probeSeedOrDead(Random &random, std::vector<SendProbe> &out);
-    void checkWaiting(TimePoint now, Random &random, std::vector<SendProbe> &out);
-    void askOthers(const Waiting &waiting, std::uint64_t sequence, Random &random,
-                   std::vector<SendProbe> &out);
+    void addSyncEntries(Probe &probe);
+    void startProbe(TimePoint now, Random &random, std::vector<OutgoingProbe> &out);
+    void probeSeedOrDead(Random &random, std::vector<OutgoingProbe> &out);
+    void checkPendingProbes(TimePoint now, Random &random, std::vector<OutgoingProbe> &out);
+    void sendPingRequests(const PendingProbe &pending, std::uint64_t sequence, Random &random,
+                          std::vector<OutgoingProbe> &out);
     void expire(TimePoint now);
-    void excuseFreeze(TimePoint now);
+    void restartTimersAfterStall(TimePoint now);
     void setState(Entry &entry, MemberState state, TimePoint now);
-    bool learnOfSelf(const Member &member);
+    bool applyUpdateOfSelf(const Member &member);
     std::optional<std::string> nextTarget(std::deque<std::string> &round, bool local,
                                           Random &random);
-    int spreadCount() const;
+    int transmissionCount() const;
 
     Member m_self;
     std::vector<std::string> m_seeds;
@@ -157,13 +157,13 @@
     std::map<std::string, Entry> m_entries;
     std::deque<std::string> m_localRound;
     std::deque<std::string> m_remoteRound;
-    std::map<std::uint64_t, Waiting> m_waiting;
-    std::map<std::uint64_t, Relay> m_relays;
+    std::map<std::uint64_t, PendingProbe> m_pendingProbes;
+    std::map<std::uint64_t, RelayedProbe> m_relayedProbes;
     std::uint64_t m_sequence = 0;
-    std::string m_fillCursor;
+    std::string m_syncCursor;
     TimePoint m_nextProbe{};
     std::optional<TimePoint> m_lastTick;
-    bool m_frozen = false;
+    bool m_stalled = false;
 };
 
 } // namespace ibisnotch
--- a/src/decide/membership.cc
+++ b/src/decide/membership.cc
@@ -7,9 +7,9 @@
 
 namespace {
 
-constexpr int seedProbeOneIn = 10;
+constexpr int periodsPerSeedProbe = 10;
 
-bool isGone(MemberState state)
+bool isDeadOrLeft(MemberState state)
 {
     return state == MemberState::dead || state == MemberState::left;
 }
@@ -35,12 +35,12 @@
     std::erase(m_seeds, m_self.gossipAddress);
 }
 
-int Membership::spreadCount() const
+int Membership::transmissionCount() const
 {
-    // Each piece of news is carried a few times per doubling of the fleet, which reaches everyone
-    // with high probability and then stops.
-    constexpr int perDoubling = 3;
-    return perDoubling * static_cast<int>(std::bit_width(m_entries.size() + 1));
+    // Each piece of updates is carried a few times per doubling of the fleet, which reaches
+    // everyone with high probability and then stops.
+    constexpr int transmissionsPerDoubling = 3;
+    return transmissionsPerDoubling * static_cast<int>(std::bit_width(m_entries.size() + 1));
 }
 
 Probe Membership::makeProbe(ProbeKind kind, std::uint64_t sequence)
@@ -49,44 +49,45 @@
     probe.kind = kind;
     probe.sequence = sequence;
     probe.sender = m_self;
-    std::vector<Entry *> fresh;
+    std::vector<Entry *> recent;
     for (auto &[name, entry] : m_entries) {
-        if (entry.spreadLeft > 0)
-            fresh.push_back(&entry);
+        if (entry.transmissionsLeft > 0)
+            recent.push_back(&entry);
     }
-    std::stable_sort(fresh.begin(), fresh.end(),
-                     [](const Entry *a, const Entry *b) { return a->spreadLeft > b->spreadLeft; });
-    fresh.resize(std::min(fresh.size(), m_settings.newsPerProbe));
-    for (Entry *entry : fresh) {
-        --entry->spreadLeft;
-        probe.news.push_back(entry->member);
+    std::stable_sort(recent.begin(), recent.end(), [](const Entry *a, const Entry *b) {
+        return a->transmissionsLeft > b->transmissionsLeft;
+    });
+    recent.resize(std::min(recent.size(), m_settings.updatesPerProbe));
+    for (Entry *entry : recent) {
+        --entry->transmissionsLeft;
+        probe.updates.push_back(entry->member);
     }
-    addFillers(probe);
+    addSyncEntries(probe);
     return probe;
 }
 
 // News stops travelling once it has probably reached everyone. For those it missed, each probe has
 // room for a few old entries in turn, which in time brings every table together.
-void Membership::addFillers(Probe &probe)
+void Membership::addSyncEntries(Probe &probe)
 {
-    for (std::size_t i = 0; i < std::min(m_settings.fillers, m_entries.size()); ++i) {
-        if (probe.news.size() >= m_settings.newsPerProbe)
+    for (std::size_t i = 0; i < std::min(m_settings.syncEntriesPerProbe, m_entries.size()); ++i) {
+        if (probe.updates.size() >= m_settings.updatesPerProbe)
             return;
-        auto next = m_entries.upper_bound(m_fillCursor);
+        auto next = m_entries.upper_bound(m_syncCursor);
         if (next == m_entries.end())
             next = m_entries.begin();
-        m_fillCursor = next->first;
-        probe.news.push_back(next->second.member);
+        m_syncCursor = next->first;
+        probe.updates.push_back(next->second.member);
     }
 }
 
-std::vector<SendProbe> Membership::tick(TimePoint now, Random &random)
+std::vector<OutgoingProbe> Membership::tick(TimePoint now, Random &random)
 {
-    std::vector<SendProbe> out;
-    if (m_lastTick && now - *m_lastTick > m_settings.freezeGap)
-        excuseFreeze(now);
+    std::vector<OutgoingProbe> out;
+    if (m_lastTick && now - *m_lastTick > m_settings.stallThreshold)
+        restartTimersAfterStall(now);
     m_lastTick = now;
-    checkWaiting(now, random, out);
+    checkPendingProbes(now, random, out);
     expire(now);
     if (now >= m_nextProbe) {
         m_nextProbe = now + m_settings.period;
@@ -96,24 +97,24 @@
     return out;
 }
 
-void Membership::excuseFreeze(TimePoint now)
+void Membership::restartTimersAfterStall(TimePoint now)
 {
     // This process stood still; the others did not. Timers that ran out meanwhile say nothing about
     // them, and acting on those would declare a healthy fleet dead on waking.
-    m_frozen = true;
-    m_waiting.clear();
-    m_relays.clear();
+    m_stalled = true;
+    m_pendingProbes.clear();
+    m_relayedProbes.clear();
     for (auto &[name, entry] : m_entries) {
         if (entry.member.state == MemberState::suspect)
-            entry.changed = now;
+            entry.changedAt = now;
     }
 }
 
-bool Membership::takeFreeze()
+bool Membership::consumeStall()
 {
-    const bool frozen = m_frozen;
-    m_frozen = false;
-    return frozen;
+    const bool stalled = m_stalled;
+    m_stalled = false;
+    return stalled;
 }
 
 std::optional<std::string> Membership::nextTarget(std::deque<std::string> &round, bool local,
@@ -126,7 +127,7 @@
             const std::string name = round.front();
             round.pop_front();
             const auto found = m_entries.find(name);
-            if (found != m_entries.end() && !isGone(found->second.member.state))
+            if (found != m_entries.end() && !isDeadOrLeft(found->second.member.state))
                 return name;
         }
         for (const auto &[name, entry] : m_entries) {
@@ -138,23 +139,23 @@
     return std::nullopt;
 }
 
-void Membership::startProbe(TimePoint now, Random &random, std::vector<SendProbe> &out)
+void Membership::startProbe(TimePoint now, Random &random, std::vector<OutgoingProbe> &out)
 {
-    const bool local = random.uniform() < m_settings.localShare;
+    const bool local = random.uniform() < m_settings.localProbeShare;
     auto name = nextTarget(local ? m_localRound : m_remoteRound, local, random);
     if (!name)
         name = nextTarget(local ? m_remoteRound : m_localRound, !local, random);
     if (!name)
         return;
     const std::uint64_t sequence = ++m_sequence;
-    m_waiting[sequence] = {*name, now + m_settings.ackTimeout, false};
+    m_pendingProbes[sequence] = {*name, now + m_settings.ackTimeout, false};
     out.push_back({m_entries.at(*name).member.gossipAddress, makeProbe(ProbeKind::ping, sequence)});
 }
 
-void Membership::probeSeedOrDead(Random &random, std::vector<SendProbe> &out)
+void Membership::probeSeedOrDead(Random &random, std::vector<OutgoingProbe> &out)
 {
-    const bool alone = usable().empty();
-    if (!alone && random.below(seedProbeOneIn) != 0)
+    const bool alone = aliveMembers().empty();
+    if (!alone && random.below(periodsPerSeedProbe) != 0)
         return;
     std::vector<std::string> addresses = m_seeds;
     for (const auto &[name, entry] : m_entries) {
@@ -167,39 +168,39 @@
         {addresses[random.below(addresses.size())], makeProbe(ProbeKind::ping, ++m_sequence)});
 }
 
-void Membership::checkWaiting(TimePoint now, Random &random, std::vector<SendProbe> &out)
+void Membership::checkPendingProbes(TimePoint now, Random &random, std::vector<OutgoingProbe> &out)
 {
     std::vector<std::uint64_t> over;
-    for (auto &[sequence, waiting] : m_waiting) {
-        if (now < waiting.ackBy)
+    for (auto &[sequence, pending] : m_pendingProbes) {
+        if (now < pending.ackDeadline)
             continue;
-        if (!waiting.indirect) {
-            waiting.indirect = true;
-            waiting.ackBy = now + m_settings.period - m_settings.ackTimeout;
-            askOthers(waiting, sequence, random, out);
+        if (!pending.indirect) {
+            pending.indirect = true;
+            pending.ackDeadline = now + m_settings.period - m_settings.ackTimeout;
+            sendPingRequests(pending, sequence, random, out);
             continue;
         }
         over.push_back(sequence);
-        const auto found = m_entries.find(waiting.name);
+        const auto found = m_entries.find(pending.name);
         if (found != m_entries.end() && found->second.member.state == MemberState::alive)
             setState(found->second, MemberState::suspect, now);
         else if (found != m_entries.end() && found->second.member.state == MemberState::leaving)
             setState(found->second, MemberState::left, now);
     }
     for (const std::uint64_t sequence : over)
-        m_waiting.erase(sequence);
-    std::erase_if(m_relays, [now](const auto &relay) { return relay.second.until <= now; });
+        m_pendingProbes.erase(sequence);
+    std::erase_if(m_relayedProbes, [now](const auto &relay) { return relay.second.until <= now; });
 }
 
-void Membership::askOthers(const Waiting &waiting, std::uint64_t sequence, Random &random,
-                           std::vector<SendProbe> &out)
+void Membership::sendPingRequests(const PendingProbe &pending, std::uint64_t sequence,
+                                  Random &random, std::vector<OutgoingProbe> &out)
 {
-    const auto target = m_entries.find(waiting.name);
+    const auto target = m_entries.find(pending.name);
     if (target == m_entries.end())
         return;
     std::deque<std::string> helpers;
-    for (const Member &member : usable()) {
-        if (member.name != waiting.name)
+    for (const Member &member : aliveMembers()) {
+        if (member.name != pending.name)
             helpers.push_back(member.gossipAddress);
     }
     shuffle(helpers, random);
@@ -214,24 +215,24 @@
 void Membership::setState(Entry &entry, MemberState state, TimePoint now)
 {
     entry.member.state = state;
-    entry.changed = now;
-    entry.spreadLeft = spreadCount();
+    entry.changedAt = now;
+    entry.transmissionsLeft = transmissionCount();
 }
 
 void Membership::expire(TimePoint now)
 {
     for (auto &[name, entry] : m_entries) {
-        const bool overdue = entry.changed + m_settings.suspicion <= now;
+        const bool overdue = entry.changedAt + m_settings.suspicion <= now;
         if (entry.member.state == MemberState::suspect && overdue)
             setState(entry, MemberState::dead, now);
     }
     std::erase_if(m_entries, [&](const auto &item) {
-        return isGone(item.second.member.state)
-            && item.second.changed + m_settings.forgetDead <= now;
+        return isDeadOrLeft(item.second.member.state)
+            && item.second.changedAt + m_settings.deadRetention <= now;
     });
 }
 
-bool Membership::learnOfSelf(const Member &member)
+bool Membership::applyUpdateOfSelf(const Member &member)
 {
     // Someone takes us for suspect or dead, or remembers an earlier run of this instance. A higher
     // incarnation is the only thing that overrides it, and only we may raise ours.
@@ -243,18 +244,18 @@
     return true;
 }
 
-bool Membership::learn(const Member &member, TimePoint now)
+bool Membership::applyUpdate(const Member &member, TimePoint now)
 {
     if (member.name.empty())
         return false;
     if (member.name == m_self.name)
-        return learnOfSelf(member);
+        return applyUpdateOfSelf(member);
     const auto found = m_entries.find(member.name);
     if (found == m_entries.end()) {
         // News of a member that is gone already would bring it back for others to probe.
-        if (isGone(member.state))
+        if (isDeadOrLeft(member.state))
             return false;
-        m_entries[member.name] = {member, now, spreadCount()};
+        m_entries[member.name] = {member, now, transmissionCount()};
         return true;
     }
     if (!overrides(member, found->second.member))
@@ -264,47 +265,47 @@
     return true;
 }
 
-std::vector<SendProbe> Membership::onProbe(const Probe &probe, const std::string &from,
-                                           TimePoint now, Random &random)
+std::vector<OutgoingProbe> Membership::onProbe(const Probe &probe, const std::string &from,
+                                               TimePoint now, Random &random)
 {
-    std::vector<SendProbe> out;
+    std::vector<OutgoingProbe> out;
     // Read before learning, which may overwrite what we hold of the sender.
     const auto known = m_entries.find(probe.sender.name);
-    const bool senderThoughtGone = known != m_entries.end()
+    const bool isSenderPresumedDead = known != m_entries.end()
         && known->second.member.state >= MemberState::suspect
         && known->second.member.state != MemberState::leaving;
     Member held;
-    if (senderThoughtGone)
+    if (isSenderPresumedDead)
         held = known->second.member;
-    learn(probe.sender, now);
+    applyUpdate(probe.sender, now);
     if (const auto entry = m_entries.find(probe.sender.name); entry != m_entries.end())
         entry->second.member.loadPercent = probe.sender.loadPercent;
-    for (const Member &member : probe.news)
-        learn(member, now);
+    for (const Member &member : probe.updates)
+        applyUpdate(member, now);
 
     switch (probe.kind) {
     case ProbeKind::ping: {
         Probe ack = makeProbe(ProbeKind::ack, probe.sequence);
         // Tell a member that we thought gone, so that it can refute at once.
-        if (senderThoughtGone)
-            ack.news.push_back(held);
+        if (isSenderPresumedDead)
+            ack.updates.push_back(held);
         out.push_back({from, std::move(ack)});
         break;
     }
     case ProbeKind::pingRequest: {
         const std::uint64_t sequence = ++m_sequence;
-        m_relays[sequence] = {from, probe.sequence, now + m_settings.period};
+        m_relayedProbes[sequence] = {from, probe.sequence, now + m_settings.period};
         out.push_back({probe.target.gossipAddress, makeProbe(ProbeKind::ping, sequence)});
         break;
     }
     case ProbeKind::ack: {
-        const auto relay = m_relays.find(probe.sequence);
-        if (relay != m_relays.end()) {
+        const auto relay = m_relayedProbes.find(probe.sequence);
+        if (relay != m_relayedProbes.end()) {
             out.push_back(
                 {relay->second.address, makeProbe(ProbeKind::ack, relay->second.sequence)});
-            m_relays.erase(relay);
+            m_relayedProbes.erase(relay);
         }
-        m_waiting.erase(probe.sequence);
+        m_pendingProbes.erase(probe.sequence);
         break;
     }
     }
@@ -312,14 +313,14 @@
     return out;
 }
 
-std::vector<SendProbe> Membership::spread(int fanout, Random &random)
+std::vector<OutgoingProbe> Membership::broadcast(int fanout, Random &random)
 {
     std::deque<std::string> addresses;
-    for (const Member &member : usable())
+    for (const Member &member : aliveMembers())
         addresses.push_back(member.gossipAddress);
     shuffle(addresses, random);
     addresses.resize(std::min<std::size_t>(addresses.size(), fanout));
-    std::vector<SendProbe> out;
+    std::vector<OutgoingProbe> out;
     for (const std::string &address : addresses)
         out.push_back({address, makeProbe(ProbeKind::ping, ++m_sequence)});
     return out;
@@ -338,20 +339,20 @@
     return result;
 }
 
-std::vector<std::string> Membership::senders(TimePoint now) const
+std::vector<std::string> Membership::possibleSenders(TimePoint now) const
 {
     std::vector<std::string> names{m_self.name};
     for (const auto &[name, entry] : m_entries) {
         const bool gone = entry.member.state == MemberState::left
             || (entry.member.state == MemberState::dead
-                && entry.changed + m_settings.mayStillSend <= now);
+                && entry.changedAt + m_settings.deadSenderGrace <= now);
         if (entry.member.region == m_self.region && !gone)
             names.push_back(name);
     }
     return names;
 }
 
-std::vector<Member> Membership::usable() const
+std::vector<Member> Membership::aliveMembers() const
 {
     std::vector<Member> result;
     for (const auto &[name, entry] : m_entries) {
--- a/src/entry/control-loads.cc
+++ b/src/entry/control-loads.cc
@@ -82,7 +82,7 @@
         return;
     if (reporting)
         return sendToRegion(message);
-    const auto reporters = reportersByRegion(m_membership.usable());
+    const auto reporters = reportersByRegion(m_membership.aliveMembers());
     const auto own = reporters.find(m_state.settings.region);
     if (own != reporters.end())
         m_link.sendGossip(own->second.gossipAddress, message);
@@ -95,7 +95,7 @@
     if (!m_state.usage.inUse())
         return;
     const TimePoint now = m_state.clock.now();
-    const auto reporters = reportersByRegion(m_membership.usable());
+    const auto reporters = reportersByRegion(m_membership.aliveMembers());
     GossipMessage message = emptyNews();
     if (!amongFirst(reporterTask, 1)) {
         const auto own = reporters.find(m_state.settings.region);
@@ -128,7 +128,7 @@
     GossipMessage report = emptyNews();
     report.regionLoads = ownRegionLoads(*table);
     report.rangeMarks = m_source->marks();
-    for (const auto &[region, reporter] : reportersByRegion(m_membership.usable())) {
+    for (const auto &[region, reporter] : reportersByRegion(m_membership.aliveMembers())) {
         if (region != m_state.settings.region)
             m_link.sendGossip(reporter.gossipAddress, report);
     }
--- a/src/entry/control.cc
+++ b/src/entry/control.cc
@@ -64,7 +64,7 @@
 void Control::spreadNews()
 {
     publishRouting();
-    send(m_membership.spread(newsFanout, m_state.random));
+    send(m_membership.broadcast(newsFanout, m_state.random));
 }
 
 void Control::start()
@@ -91,7 +91,8 @@
         publishMembers();
         // Everyone hears it directly: a caller must not be pointed here any more, and at this
         // moment there is no time to wait for news to travel by itself.
-        send(m_membership.spread(static_cast<int>(m_membership.usable().size()), m_state.random));
+        send(m_membership.broadcast(static_cast<int>(m_membership.aliveMembers().size()),
+                                    m_state.random));
     });
 }
 
@@ -101,7 +102,7 @@
         // A caller who re-sends is likely to reach the same region next, so all of it hears first
         // hand; the other regions hear through a few of their members.
         int others = newsFanout;
-        for (const Member &member : m_membership.usable()) {
+        for (const Member &member : m_membership.aliveMembers()) {
             const bool local = member.region == m_state.settings.region;
             if (!local && others-- <= 0)
                 continue;
@@ -125,7 +126,7 @@
 {
     const TimePoint now = m_state.clock.now();
     send(m_membership.tick(now, m_state.random));
-    if (m_membership.takeFreeze()) {
+    if (m_membership.consumeStall()) {
         logLine(LogPart::control, LogLevel::warn, "Woke from a freeze.");
         m_pulling = false;
     }
@@ -200,15 +201,15 @@
 
 void Control::sendToRegion(const GossipMessage &message)
 {
-    for (const Member &member : m_membership.usable()) {
+    for (const Member &member : m_membership.aliveMembers()) {
         if (member.region == m_state.settings.region)
             m_link.sendGossip(member.gossipAddress, message);
     }
 }
 
-void Control::send(const std::vector<SendProbe> &probes)
+void Control::send(const std::vector<OutgoingProbe> &probes)
 {
-    for (const SendProbe &item : probes)
+    for (const OutgoingProbe &item : probes)
         m_link.sendGossip(item.address, message(item.probe, regionOf(item.address)));
 }
 
@@ -252,7 +253,7 @@
 void Control::noteUsagePlace()
 {
     const TimePoint now = m_state.clock.now();
-    UsagePlace place{m_state.settings.region, {}, m_membership.senders(now).size()};
+    UsagePlace place{m_state.settings.region, {}, m_membership.possibleSenders(now).size()};
     const auto config = m_state.gate.config();
     const auto &regions = config ? config->regions : m_state.settings.regions;
     for (const Region &region : regions)
@@ -293,7 +294,7 @@
     const std::uint64_t hash = hash64(key);
     const std::uint64_t own = rendezvousWeight(m_state.settings.name, hash);
     std::size_t ahead = 0;
-    for (const Member &member : m_membership.usable()) {
+    for (const Member &member : m_membership.aliveMembers()) {
         const bool local = member.region == m_state.settings.region;
         if (local && rendezvousWeight(member.name, hash) > own)
             ++ahead;
@@ -303,7 +304,7 @@
 
 std::size_t Control::regionSize() const
 {
-    const std::vector<Member> members = m_membership.usable();
+    const std::vector<Member> members = m_membership.aliveMembers();
     const auto local = std::count_if(members.begin(), members.end(), [this](const Member &member) {
         return member.region == m_state.settings.region;
     });
@@ -395,7 +396,7 @@
         if (!reply)
             return;
         for (const Member &member : reply->members)
-            m_membership.learn(member, m_state.clock.now());
+            m_membership.applyUpdate(member, m_state.clock.now());
         if (reply->delta.toVersion == 0)
             return;
         const auto before = m_state.gate.document();
@@ -428,7 +429,7 @@
 void Control::announceConfig()
 {
     // Without loads: a change a few seconds apart would otherwise cost more than it carries.
-    for (SendProbe &item : m_membership.spread(newsFanout, m_state.random)) {
+    for (OutgoingProbe &item : m_membership.broadcast(newsFanout, m_state.random)) {
         GossipMessage news;
         news.probe = std::move(item.probe);
         news.configVersion = m_state.gate.version();
--- a/src/entry/control.h
+++ b/src/entry/control.h
@@ -67,7 +67,7 @@
     static constexpr std::size_t loadsPerMessage = 48; // 19 bytes each
 
     void tick();
-    void send(const std::vector<SendProbe> &probes);
+    void send(const std::vector<OutgoingProbe> &probes);
     GossipMessage message(Probe probe, const std::string &toRegion);
     std::string regionOf(const std::string &gossipAddress) const;
     void publishMembers();
--- a/src/ibisnotch-slopes.cc
+++ b/src/ibisnotch-slopes.cc
@@ -75,15 +75,15 @@
         Random random(1);
         TimePoint now{std::chrono::hours(1)};
         for (int i = 1; i < size; ++i)
-            node.learn(makeMember(i), now);
+            node.applyUpdate(makeMember(i), now);
         const std::size_t heap = heapBytes() - before;
         GossipMessage newsy;
-        newsy.probe = node.spread(1, random).at(0).probe;
+        newsy.probe = node.broadcast(1, random).at(0).probe;
         // Run until the news of the start is spread.
         for (int i = 0; i < 3 * size; ++i)
-            node.spread(1, random);
+            node.broadcast(1, random);
         GossipMessage quiet;
-        quiet.probe = node.spread(1, random).at(0).probe;
+        quiet.probe = node.broadcast(1, random).at(0).probe;
         const std::string bytes = encodeGossip(quiet);
         const double cost = costOf([&] {
             now += std::chrono::milliseconds(100);
@@ -91,7 +91,8 @@
                 node.tick(now, random);
             now += std::chrono::milliseconds(900);
             const auto ping = decodeGossip(bytes);
-            for (const SendProbe &probe : node.onProbe(ping->probe, "10.0.0.1:1", now, random)) {
+            for (const OutgoingProbe &probe :
+                 node.onProbe(ping->probe, "10.0.0.1:1", now, random)) {
                 GossipMessage message;
                 message.probe = probe.probe;
                 encodeGossip(message);
@@ -259,7 +260,7 @@
         for (int i = 0; i < size; ++i) {
             for (int j = 0; j < size; ++j) {
                 if (i != j)
-                    m_nodes[i]->learn(makeMember(j), now);
+                    m_nodes[i]->applyUpdate(makeMember(j), now);
             }
         }
         m_has.assign(size, false);
@@ -286,7 +287,7 @@
         m_has[node] = true;
         ++m_reached;
         m_last = std::max(m_last, time);
-        for (const SendProbe &probe : m_nodes[node]->spread(fanout, m_random)) {
+        for (const OutgoingProbe &probe : m_nodes[node]->broadcast(fanout, m_random)) {
             const int to = m_numbers.at(probe.address);
             const bool sameRegion = to % 19 == node % 19;
             const double way = sameRegion ? 0.004 : 0.08;
--- a/test/membership-test.cc
+++ b/test/membership-test.cc
@@ -71,9 +71,9 @@
     TimePoint now() const { return m_now; }
 
 private:
-    void send(const std::string &from, const std::vector<SendProbe> &probes)
+    void send(const std::string &from, const std::vector<OutgoingProbe> &probes)
     {
-        for (const SendProbe &probe : probes)
+        for (const OutgoingProbe &probe : probes)
             m_wire.push_back({from, probe});
     }
 
@@ -101,7 +101,7 @@
     std::string m_cut;
     double m_loss = 0;
     TimePoint m_now{};
-    std::vector<std::pair<std::string, SendProbe>> m_wire;
+    std::vector<std::pair<std::string, OutgoingProbe>> m_wire;
 };
 
 const std::vector<std::string> nine{"a1", "a2", "a3", "b1", "b2", "b3", "c1", "c2", "c3"};
@@ -127,7 +127,8 @@
 }
 
 // What callers see: the same fleet from every instance. In what order: any, with some loss while
-// the instances find each other. Why: news that stopped too early is made up for by the fillers.
+// the instances find each other. Why: news that stopped too early is made up for by the
+// syncEntriesPerProbe.
 TEST_CASE("membership_ofNineUnderLossAtTheStart_findsEachOtherAlways")
 {
     rc::prop("all see all", [](std::uint64_t seed) {
@@ -215,7 +216,7 @@
     CHECK(fleet.seen("b1", "a2") == MemberState::dead);
     fleet.freeze("a2", false);
     fleet.run(1s);
-    CHECK(fleet.node("a2").takeFreeze());
+    CHECK(fleet.node("a2").consumeStall());
     for (const std::string &whom : nine) {
         if (whom != "a2")
             CHECK(fleet.seen("a2", whom) == MemberState::alive);
@@ -246,7 +247,7 @@
             CHECK(fleet.seen(by, "a3") == MemberState::leaving);
     }
     Membership &b1 = fleet.node("b1");
-    CHECK_FALSE(b1.learn(makeMember("a3", 1), fleet.now()));
+    CHECK_FALSE(b1.applyUpdate(makeMember("a3", 1), fleet.now()));
 }
 
 TEST_CASE("overrides_ofAnyTwoClaims_isAStrictOrder")
--- a/test/peer-link-test.cc
+++ b/test/peer-link-test.cc
@@ -11,7 +11,7 @@
 {
     GossipMessage message;
     message.probe.sender.name = "a1";
-    message.probe.news.resize(2);
+    message.probe.updates.resize(2);
     message.configVersion = 7;
     message.loads.push_back({1, 2, 3, 4, 5, 1});
     message.regionLoads.push_back({"a", "s", 8, 3, 0});
