--- a/include/ibisnotch/booking.h
+++ b/include/ibisnotch/booking.h
@@ -23,7 +23,7 @@
 struct CallerKey
 {
     std::string text;
-    WallTime born;
+    WallTime createdAt;
     bool operator==(const CallerKey &) const = default;
 };
 
@@ -42,23 +42,23 @@
 absl::StatusOr<BookingKey> parseBookingKey(std::string_view text);
 
 // For callers and tests.
-std::string makeCallerKey(WallTime born, Random &random);
+std::string makeCallerKey(WallTime createdAt, Random &random);
 
 // How far clocks of callers and instances may differ. Claims are kept this much longer than keys
 // are accepted, on both sides.
 constexpr Duration clockTolerance = std::chrono::minutes(5);
 
-// True while a key born then may still start a booking.
-bool keyAccepted(const CallerKey &key, WallTime now, Duration keyLife);
+// True while a key that was created then may still start a booking.
+bool isKeyAccepted(const CallerKey &key, WallTime now, Duration keyLifetime);
 
 // The store key of the page that holds a claim: one set of pages per hour of birth, so that whole
 // pages are dropped once no key of that hour can be accepted.
 std::string claimPageName(const CallerKey &key, std::string_view claimId, int shards);
 
-std::string claimPageOf(long long hour, int shard);
+std::string claimPageNameFor(long long hour, int shard);
 
 // The latest hour whose pages may be removed: none of its keys is accepted any more on any clock.
-long long newestDroppedHour(WallTime now, Duration keyLife);
+long long newestExpiredHour(WallTime now, Duration keyLifetime);
 
 // Names a claim; the customer is part of it, so that no customer can meet another's key.
 std::string claimId(std::string_view customer, std::string_view key);
@@ -67,7 +67,7 @@
 
 struct Claim
 {
-    std::uint64_t claimant = 0; // one attempt's unique number
+    std::uint64_t attempt = 0; // one attempt's unique number
     std::string bodyHash;
     ClaimState state = ClaimState::claimed;
     int httpStatus = 0; // of the backend server's answer, once done
@@ -81,7 +81,7 @@
 
 // The store takes values up to a megabyte; a page stops taking new claims before that, with room
 // left for the outcomes of those it holds.
-constexpr std::size_t claimPageLimit = 900'000;
+constexpr std::size_t maxClaimPageBytes = 900'000;
 
 // ---- The writer of one page ---------------------------------------------------------------------
 
@@ -90,7 +90,7 @@
     granted, // this attempt alone may send, once
     alreadyDone,
     unknown, // another attempt claimed and left no outcome
-    otherBody,
+    bodyMismatch,
     pageFull,
     storeUnreachable, // nothing was sent and nothing will be
 };
@@ -119,7 +119,7 @@
 
 using ClaimAction = std::variant<ReadPage, WritePage, ClaimResult>;
 
-enum class PageWriteEnd { applied, conflict, notApplied, unknown };
+enum class PageWriteResult { applied, conflict, notApplied, unknown };
 
 // Decides the store calls for one claim page on one instance. Claims and outcomes that arrive while
 // a call is under way go together into the next write. Does no I/O; not thread safe.
@@ -131,27 +131,27 @@
         std::uint64_t attempt = 0; // unique number of this attempt, drawn at random
         std::string claimId;
         std::string bodyHash;
-        TimePoint giveUpAt;
+        TimePoint deadline;
     };
 
     void claim(Request request);
     // Records what became of a granted attempt. Kept and tried again until the store takes it.
-    void settle(std::uint64_t attempt, const std::string &claimId, ClaimState state,
-                int httpStatus);
+    void recordOutcome(std::uint64_t attempt, const std::string &claimId, ClaimState state,
+                       int httpStatus);
 
     // Events. A read of a page that does not exist carries index 0 and an empty page.
     void onRead(std::uint64_t call, std::uint64_t index, const ClaimPage &page);
     void onReadFailed(std::uint64_t call, TimePoint now);
-    void onWritten(std::uint64_t call, PageWriteEnd end, std::uint64_t newIndex, TimePoint now);
+    void onWritten(std::uint64_t call, PageWriteResult end, std::uint64_t newIndex, TimePoint now);
 
     // Gives up what is overdue and starts the next call if one is due.
     std::vector<ClaimAction> advance(TimePoint now);
 
-    bool idle() const { return m_claims.empty() && m_settlements.empty() && !m_call; }
-    std::size_t unsettled() const { return m_settlements.size(); }
+    bool isIdle() const { return m_claims.empty() && m_pendingOutcomes.empty() && !m_call; }
+    std::size_t pendingOutcomes() const { return m_pendingOutcomes.size(); }
 
 private:
-    struct Settlement
+    struct PendingOutcome
     {
         std::uint64_t attempt = 0;
         std::string claimId;
@@ -160,35 +160,35 @@
     };
 
     void decideClaims(std::vector<ClaimAction> &actions);
-    void giveUpOverdue(TimePoint now, std::vector<ClaimAction> &actions);
+    void expireOverdueClaims(TimePoint now, std::vector<ClaimAction> &actions);
     bool applyClaim(const Request &request, ClaimPage &page);
-    bool applySettlements(ClaimPage &page);
-    void dropSettled();
+    bool applyOutcomes(ClaimPage &page);
+    void dropStoredOutcomes();
     std::optional<ClaimResult> resultFor(const Request &request) const;
     void startCall(std::vector<ClaimAction> &actions);
     void backOff(TimePoint now);
 
     std::deque<Request> m_claims;
-    std::deque<Settlement> m_settlements;
-    bool m_known = false; // m_page is what the store held at m_index
+    std::deque<PendingOutcome> m_pendingOutcomes;
+    bool m_pageKnown = false; // m_page is what the store held at m_index
     std::uint64_t m_index = 0;
     ClaimPage m_page;
     std::size_t m_pageBytes = 0;
-    ClaimPage m_written; // what the write under way would make of the page
+    ClaimPage m_pageBeingWritten; // what the write under way would make of the page
     std::optional<std::uint64_t> m_call;
     std::uint64_t m_nextCall = 1;
-    TimePoint m_notBefore{};
+    TimePoint m_nextCallAt{};
 };
 
 // ---- Keys issued by this instance ---------------------------------------------------------------
 
-enum class IssuedUse {
+enum class IssuedKeyUse {
     send, // first use: send now
     repeat, // ran before: repeat its answer
     inProgress,
     unknown, // was sent, and its outcome is not known
-    otherBody,
-    notOurs, // issued by another instance
+    bodyMismatch,
+    otherIssuer, // issued by another instance
     issuerGone, // issued by an earlier incarnation, or forgotten
 };
 
@@ -198,8 +198,8 @@
 public:
     struct Limits
     {
-        Duration life = std::chrono::hours(1);
-        std::size_t most = 100'000;
+        Duration lifetime = std::chrono::hours(1);
+        std::size_t maxKeys = 100'000;
     };
 
     IssuedKeys(std::string instance, std::uint64_t incarnation, Limits limits);
@@ -209,7 +209,7 @@
 
     struct Decision
     {
-        IssuedUse use = IssuedUse::issuerGone;
+        IssuedKeyUse use = IssuedKeyUse::issuerGone;
         int httpStatus = 0;
         std::string answer;
         bool operator==(const Decision &) const = default;
@@ -236,13 +236,13 @@
         std::string answer;
     };
 
-    void forgetOld(TimePoint now);
+    void removeExpired(TimePoint now);
 
     std::string m_instance;
     std::uint64_t m_incarnation;
     Limits m_limits;
     std::map<std::string, Entry> m_keys;
-    std::deque<std::pair<TimePoint, std::string>> m_order;
+    std::deque<std::pair<TimePoint, std::string>> m_issueOrder;
 };
 
 } // namespace ibisnotch
--- a/src/decide/booking.cc
+++ b/src/decide/booking.cc
@@ -15,10 +15,10 @@
 
 constexpr std::string_view issuedPrefix = "ib1.";
 constexpr std::size_t uuidLength = 36;
-constexpr std::size_t uuidVersionAt = 14;
-constexpr std::size_t uuidVariantAt = 19;
-constexpr Duration storeRetryPause = std::chrono::milliseconds(200);
-constexpr std::size_t claimBytes = 128; // upper bound of one serialized claim
+constexpr std::size_t uuidVersionIndex = 14;
+constexpr std::size_t uuidVariantIndex = 19;
+constexpr Duration storeRetryDelay = std::chrono::milliseconds(200);
+constexpr std::size_t maxClaimBytes = 128; // upper bound of one serialized claim
 
 std::optional<std::uint64_t> parseHex(std::string_view text)
 {
@@ -29,7 +29,7 @@
     return value;
 }
 
-bool hasUuidShape(std::string_view text)
+bool isUuidFormat(std::string_view text)
 {
     if (text.size() != uuidLength)
         return false;
@@ -43,9 +43,9 @@
 
 std::optional<CallerKey> parseUuid7(std::string_view text)
 {
-    if (!hasUuidShape(text) || text[uuidVersionAt] != '7')
+    if (!isUuidFormat(text) || text[uuidVersionIndex] != '7')
         return std::nullopt;
-    if (std::string_view("89abAB").find(text[uuidVariantAt]) == std::string_view::npos)
+    if (std::string_view("89abAB").find(text[uuidVariantIndex]) == std::string_view::npos)
         return std::nullopt;
     const std::string digits = std::string(text.substr(0, 8)) + std::string(text.substr(9, 4));
     const auto milliseconds = parseHex(digits);
@@ -78,7 +78,7 @@
     return std::chrono::floor<std::chrono::hours>(time.time_since_epoch()).count();
 }
 
-std::string_view stateLetter(ClaimState state)
+std::string_view claimStateLetter(ClaimState state)
 {
     switch (state) {
     case ClaimState::claimed:
@@ -91,7 +91,7 @@
     return "c";
 }
 
-ClaimState stateOf(std::string_view letter)
+ClaimState parseClaimState(std::string_view letter)
 {
     if (letter == "d")
         return ClaimState::done;
@@ -111,9 +111,9 @@
     return makeStatus(ResultCode::bookingKeyForm, "the key is neither a UUIDv7 nor an issued key");
 }
 
-std::string makeCallerKey(WallTime born, Random &random)
+std::string makeCallerKey(WallTime createdAt, Random &random)
 {
-    const auto milliseconds = static_cast<std::uint64_t>(wallMilliseconds(born));
+    const auto milliseconds = static_cast<std::uint64_t>(wallMilliseconds(createdAt));
     const std::uint64_t a = random.next();
     const std::uint64_t b = random.next();
     return fmt::format("{:08x}-{:04x}-7{:03x}-{:04x}-{:012x}", (milliseconds >> 16) & 0xffffffffU,
@@ -121,26 +121,26 @@
                        b & 0xffffffffffffULL);
 }
 
-bool keyAccepted(const CallerKey &key, WallTime now, Duration keyLife)
+bool isKeyAccepted(const CallerKey &key, WallTime now, Duration keyLifetime)
 {
-    return key.born <= now + clockTolerance && now < key.born + keyLife;
+    return key.createdAt <= now + clockTolerance && now < key.createdAt + keyLifetime;
 }
 
 std::string claimPageName(const CallerKey &key, std::string_view claimId, int shards)
 {
     const auto shard = hash64(claimId) % static_cast<std::uint64_t>(shards);
-    return claimPageOf(hourOf(key.born), static_cast<int>(shard));
+    return claimPageNameFor(hourOf(key.createdAt), static_cast<int>(shard));
 }
 
-std::string claimPageOf(long long hour, int shard)
+std::string claimPageNameFor(long long hour, int shard)
 {
     return fmt::format("ibisnotch/claims/{}/{}", hour, shard);
 }
 
-long long newestDroppedHour(WallTime now, Duration keyLife)
+long long newestExpiredHour(WallTime now, Duration keyLifetime)
 {
-    // The last key of an hour is born at its end.
-    return hourOf(now - keyLife - 2 * clockTolerance) - 1;
+    // The last key of an hour is created at its end.
+    return hourOf(now - keyLifetime - 2 * clockTolerance) - 1;
 }
 
 std::string claimId(std::string_view customer, std::string_view key)
@@ -152,7 +152,8 @@
 {
     nlohmann::json claims = nlohmann::json::object();
     for (const auto &[id, claim] : page)
-        claims[id] = {claim.claimant, claim.bodyHash, stateLetter(claim.state), claim.httpStatus};
+        claims[id]
+            = {claim.attempt, claim.bodyHash, claimStateLetter(claim.state), claim.httpStatus};
     return nlohmann::json{{"claims", claims}}.dump();
 }
 
@@ -162,8 +163,8 @@
         ClaimPage page;
         const auto json = nlohmann::json::parse(text);
         for (const auto &[id, fields] : json.at("claims").items())
-            page[id] = {fields.at(0), fields.at(1), stateOf(fields.at(2).get<std::string>()),
-                        fields.at(3)};
+            page[id] = {fields.at(0), fields.at(1),
+                        parseClaimState(fields.at(2).get<std::string>()), fields.at(3)};
         return page;
     } catch (const nlohmann::json::exception &error) {
         return absl::InvalidArgumentError(fmt::format("broken claim page: {}", error.what()));
@@ -175,10 +176,10 @@
     m_claims.push_back(std::move(request));
 }
 
-void ClaimPageWriter::settle(std::uint64_t attempt, const std::string &claimId, ClaimState state,
-                             int httpStatus)
+void ClaimPageWriter::recordOutcome(std::uint64_t attempt, const std::string &claimId,
+                                    ClaimState state, int httpStatus)
 {
-    m_settlements.push_back({attempt, claimId, state, httpStatus});
+    m_pendingOutcomes.push_back({attempt, claimId, state, httpStatus});
 }
 
 void ClaimPageWriter::onRead(std::uint64_t call, std::uint64_t index, const ClaimPage &page)
@@ -186,7 +187,7 @@
     if (call != m_call)
         return;
     m_call.reset();
-    m_known = true;
+    m_pageKnown = true;
     m_index = index;
     m_page = page;
 }
@@ -199,29 +200,29 @@
     backOff(now);
 }
 
-void ClaimPageWriter::onWritten(std::uint64_t call, PageWriteEnd end, std::uint64_t newIndex,
+void ClaimPageWriter::onWritten(std::uint64_t call, PageWriteResult end, std::uint64_t newIndex,
                                 TimePoint now)
 {
     if (call != m_call)
         return;
     m_call.reset();
     switch (end) {
-    case PageWriteEnd::applied:
-        m_page = m_written;
+    case PageWriteResult::applied:
+        m_page = m_pageBeingWritten;
         m_index = newIndex;
-        dropSettled();
+        dropStoredOutcomes();
         return;
-    case PageWriteEnd::conflict:
-        m_known = false;
+    case PageWriteResult::conflict:
+        m_pageKnown = false;
         return;
-    case PageWriteEnd::notApplied:
+    case PageWriteResult::notApplied:
         backOff(now);
         return;
-    case PageWriteEnd::unknown:
+    case PageWriteResult::unknown:
         // The write may have taken effect although its answer was lost, or may do so later. Only
         // the page itself tells: it is read back, and the attempt's number decides. A write that
         // lands later than the read fails our next compare-and-swap, which leads back here.
-        m_known = false;
+        m_pageKnown = false;
         backOff(now);
         return;
     }
@@ -229,17 +230,17 @@
 
 void ClaimPageWriter::backOff(TimePoint now)
 {
-    m_notBefore = now + storeRetryPause;
+    m_nextCallAt = now + storeRetryDelay;
 }
 
 std::vector<ClaimAction> ClaimPageWriter::advance(TimePoint now)
 {
     std::vector<ClaimAction> actions;
-    if (!m_call && m_known)
+    if (!m_call && m_pageKnown)
         decideClaims(actions);
-    giveUpOverdue(now, actions);
-    const bool work = !m_claims.empty() || !m_settlements.empty();
-    if (!m_call && work && now >= m_notBefore)
+    expireOverdueClaims(now, actions);
+    const bool work = !m_claims.empty() || !m_pendingOutcomes.empty();
+    if (!m_call && work && now >= m_nextCallAt)
         startCall(actions);
     return actions;
 }
@@ -250,10 +251,10 @@
     if (found == m_page.end())
         return std::nullopt;
     const Claim &claim = found->second;
-    if (claim.claimant == request.attempt)
+    if (claim.attempt == request.attempt)
         return ClaimResult{request.attempt, ClaimOutcome::granted, 0};
     if (claim.bodyHash != request.bodyHash)
-        return ClaimResult{request.attempt, ClaimOutcome::otherBody, 0};
+        return ClaimResult{request.attempt, ClaimOutcome::bodyMismatch, 0};
     if (claim.state == ClaimState::done)
         return ClaimResult{request.attempt, ClaimOutcome::alreadyDone, claim.httpStatus};
     if (claim.state == ClaimState::claimed)
@@ -273,77 +274,77 @@
     m_claims = std::move(open);
 }
 
-void ClaimPageWriter::giveUpOverdue(TimePoint now, std::vector<ClaimAction> &actions)
+void ClaimPageWriter::expireOverdueClaims(TimePoint now, std::vector<ClaimAction> &actions)
 {
     std::deque<Request> open;
     for (Request &request : m_claims) {
-        if (now < request.giveUpAt) {
+        if (now < request.deadline) {
             open.push_back(std::move(request));
             continue;
         }
         actions.emplace_back(ClaimResult{request.attempt, ClaimOutcome::storeUnreachable, 0});
         // A write of this claim may still land. The attempt is over and never sends, so saying so
         // on the page lets the caller use the key again instead of hearing "unknown" for a day.
-        m_settlements.push_back({request.attempt, request.claimId, ClaimState::notRun, 0});
+        m_pendingOutcomes.push_back({request.attempt, request.claimId, ClaimState::notRun, 0});
     }
     m_claims = std::move(open);
 }
 
 bool ClaimPageWriter::applyClaim(const Request &request, ClaimPage &page)
 {
-    if (page.size() * claimBytes >= claimPageLimit)
+    if (page.size() * maxClaimBytes >= maxClaimPageBytes)
         return false;
     page[request.claimId] = {request.attempt, request.bodyHash, ClaimState::claimed, 0};
     return true;
 }
 
-bool ClaimPageWriter::applySettlements(ClaimPage &page)
+bool ClaimPageWriter::applyOutcomes(ClaimPage &page)
 {
     bool changed = false;
-    for (const Settlement &settlement : m_settlements) {
-        const auto found = page.find(settlement.claimId);
-        if (found == page.end() || found->second.claimant != settlement.attempt)
+    for (const PendingOutcome &outcome : m_pendingOutcomes) {
+        const auto found = page.find(outcome.claimId);
+        if (found == page.end() || found->second.attempt != outcome.attempt)
             continue;
         if (found->second.state != ClaimState::claimed)
             continue;
-        found->second.state = settlement.state;
-        found->second.httpStatus = settlement.httpStatus;
+        found->second.state = outcome.state;
+        found->second.httpStatus = outcome.httpStatus;
         changed = true;
     }
     return changed;
 }
 
-void ClaimPageWriter::dropSettled()
+void ClaimPageWriter::dropStoredOutcomes()
 {
-    std::deque<Settlement> open;
-    for (Settlement &settlement : m_settlements) {
-        const auto found = m_page.find(settlement.claimId);
-        const bool waiting = found != m_page.end() && found->second.claimant == settlement.attempt
+    std::deque<PendingOutcome> open;
+    for (PendingOutcome &outcome : m_pendingOutcomes) {
+        const auto found = m_page.find(outcome.claimId);
+        const bool waiting = found != m_page.end() && found->second.attempt == outcome.attempt
             && found->second.state == ClaimState::claimed;
         if (waiting)
-            open.push_back(std::move(settlement));
+            open.push_back(std::move(outcome));
     }
-    m_settlements = std::move(open);
+    m_pendingOutcomes = std::move(open);
 }
 
 void ClaimPageWriter::startCall(std::vector<ClaimAction> &actions)
 {
-    if (!m_known) {
+    if (!m_pageKnown) {
         m_call = m_nextCall++;
         actions.emplace_back(ReadPage{*m_call});
         return;
     }
-    m_written = m_page;
-    bool changed = applySettlements(m_written);
+    m_pageBeingWritten = m_page;
+    bool changed = applyOutcomes(m_pageBeingWritten);
     std::deque<Request> open;
     for (Request &request : m_claims) {
         // Two requests with one key in one batch: the first claims, the second meets the claim.
-        if (m_written.count(request.claimId) > 0
-            && m_written[request.claimId].state != ClaimState::notRun) {
+        if (m_pageBeingWritten.count(request.claimId) > 0
+            && m_pageBeingWritten[request.claimId].state != ClaimState::notRun) {
             open.push_back(std::move(request));
             continue;
         }
-        if (!applyClaim(request, m_written)) {
+        if (!applyClaim(request, m_pageBeingWritten)) {
             actions.emplace_back(ClaimResult{request.attempt, ClaimOutcome::pageFull, 0});
             continue;
         }
@@ -352,11 +353,11 @@
     }
     m_claims = std::move(open);
     if (!changed) {
-        dropSettled();
+        dropStoredOutcomes();
         return;
     }
     m_call = m_nextCall++;
-    actions.emplace_back(WritePage{*m_call, m_index, serializeClaimPage(m_written)});
+    actions.emplace_back(WritePage{*m_call, m_index, serializeClaimPage(m_pageBeingWritten)});
 }
 
 IssuedKeys::IssuedKeys(std::string instance, std::uint64_t incarnation, Limits limits)
@@ -367,29 +368,29 @@
 std::optional<std::string> IssuedKeys::issue(const std::string &customer, TimePoint now,
                                              Random &random)
 {
-    forgetOld(now);
-    if (m_keys.size() >= m_limits.most)
+    removeExpired(now);
+    if (m_keys.size() >= m_limits.maxKeys)
         return std::nullopt;
     std::string key
         = fmt::format("{}{}.{:x}.{:016x}", issuedPrefix, m_instance, m_incarnation, random.next());
     m_keys[key] = {customer, "", now, State::unused, 0, ""};
-    m_order.emplace_back(now, key);
+    m_issueOrder.emplace_back(now, key);
     return key;
 }
 
-void IssuedKeys::forgetOld(TimePoint now)
+void IssuedKeys::removeExpired(TimePoint now)
 {
-    while (!m_order.empty() && m_order.front().first + m_limits.life <= now) {
-        const auto found = m_keys.find(m_order.front().second);
+    while (!m_issueOrder.empty() && m_issueOrder.front().first + m_limits.lifetime <= now) {
+        const auto found = m_keys.find(m_issueOrder.front().second);
         // A send that is under way keeps its entry: it still has an outcome to record.
         if (found != m_keys.end() && found->second.state == State::sending) {
-            m_order.emplace_back(now, m_order.front().second);
-            m_order.pop_front();
+            m_issueOrder.emplace_back(now, m_issueOrder.front().second);
+            m_issueOrder.pop_front();
             return;
         }
         if (found != m_keys.end())
             m_keys.erase(found);
-        m_order.pop_front();
+        m_issueOrder.pop_front();
     }
 }
 
@@ -397,28 +398,28 @@
                                        const std::string &bodyHash, TimePoint now)
 {
     if (key.instance != m_instance)
-        return {IssuedUse::notOurs, 0, ""};
-    forgetOld(now);
+        return {IssuedKeyUse::otherIssuer, 0, ""};
+    removeExpired(now);
     const auto found = m_keys.find(key.text);
     if (key.incarnation != m_incarnation || found == m_keys.end()
         || found->second.customer != customer)
-        return {IssuedUse::issuerGone, 0, ""};
+        return {IssuedKeyUse::issuerGone, 0, ""};
     Entry &entry = found->second;
     if (entry.state != State::unused && entry.bodyHash != bodyHash)
-        return {IssuedUse::otherBody, 0, ""};
+        return {IssuedKeyUse::bodyMismatch, 0, ""};
     switch (entry.state) {
     case State::unused:
         entry.state = State::sending;
         entry.bodyHash = bodyHash;
-        return {IssuedUse::send, 0, ""};
+        return {IssuedKeyUse::send, 0, ""};
     case State::sending:
-        return {IssuedUse::inProgress, 0, ""};
+        return {IssuedKeyUse::inProgress, 0, ""};
     case State::done:
-        return {IssuedUse::repeat, entry.httpStatus, entry.answer};
+        return {IssuedKeyUse::repeat, entry.httpStatus, entry.answer};
     case State::unknown:
-        return {IssuedUse::unknown, 0, ""};
+        return {IssuedKeyUse::unknown, 0, ""};
     }
-    return {IssuedUse::unknown, 0, ""};
+    return {IssuedKeyUse::unknown, 0, ""};
 }
 
 void IssuedKeys::finishDone(const std::string &key, int httpStatus, std::string answer)
--- a/src/entry/claim-service.cc
+++ b/src/entry/claim-service.cc
@@ -10,17 +10,17 @@
 
 constexpr Duration tickPeriod = std::chrono::milliseconds(100);
 
-PageWriteEnd pageWriteEnd(StoreEnd end)
+PageWriteResult pageWriteEnd(StoreEnd end)
 {
     switch (end) {
     case StoreEnd::ok:
-        return PageWriteEnd::applied;
+        return PageWriteResult::applied;
     case StoreEnd::conflict:
-        return PageWriteEnd::conflict;
+        return PageWriteResult::conflict;
     case StoreEnd::notApplied:
-        return PageWriteEnd::notApplied;
+        return PageWriteResult::notApplied;
     default:
-        return PageWriteEnd::unknown;
+        return PageWriteResult::unknown;
     }
 }
 
@@ -45,7 +45,7 @@
                           const std::string &claimId, ClaimState state, int httpStatus)
 {
     m_client.post([this, page, attempt, claimId, state, httpStatus] {
-        m_pages[page].writer.settle(attempt, claimId, state, httpStatus);
+        m_pages[page].writer.recordOutcome(attempt, claimId, state, httpStatus);
         advance(page);
     });
 }
@@ -72,7 +72,7 @@
     const auto found = m_pages.find(name);
     if (found == m_pages.end() || found->second.tickScheduled)
         return;
-    if (found->second.writer.idle() && found->second.waiting.empty()) {
+    if (found->second.writer.isIdle() && found->second.waiting.empty()) {
         m_pages.erase(found);
         return;
     }
--- a/src/entry/dispatch-booking.cc
+++ b/src/entry/dispatch-booking.cc
@@ -31,11 +31,11 @@
                                             m_state.clock.now());
     }
     switch (decision.use) {
-    case IssuedUse::send:
+    case IssuedKeyUse::send:
         m_right = Right::issuedKey;
         trace("issued key, first use");
         return route();
-    case IssuedUse::repeat: {
+    case IssuedKeyUse::repeat: {
         trace("issued key, answer repeated");
         HttpResponse response{
             decision.httpStatus,
@@ -45,15 +45,15 @@
         m_exchange->responder->reply(response);
         return finish(ResultCode::bookingRepeated);
     }
-    case IssuedUse::inProgress:
+    case IssuedKeyUse::inProgress:
         return refuse({ResultCode::bookingInProgress, "", spreadRetryAfter(1, m_state.random)});
-    case IssuedUse::unknown:
+    case IssuedKeyUse::unknown:
         return refuse({ResultCode::outcomeUnknown, "", {}});
-    case IssuedUse::otherBody:
+    case IssuedKeyUse::bodyMismatch:
         return refuse({ResultCode::bookingKeyReused, "", {}});
-    case IssuedUse::issuerGone:
+    case IssuedKeyUse::issuerGone:
         return refuse({ResultCode::issuerGone, "", {}});
-    case IssuedUse::notOurs:
+    case IssuedKeyUse::otherIssuer:
         return forwardToIssuer(key);
     }
 }
@@ -103,7 +103,7 @@
                        {}});
     case ClaimOutcome::unknown:
         return refuse({ResultCode::outcomeUnknown, "", {}});
-    case ClaimOutcome::otherBody:
+    case ClaimOutcome::bodyMismatch:
         return refuse({ResultCode::bookingKeyReused, "", {}});
     case ClaimOutcome::pageFull:
         return refuse({ResultCode::claimPageFull, "", spreadRetryAfter(60, m_state.random)});
@@ -117,7 +117,7 @@
     // accepts that key any more, so nobody can claim it again behind our back.
     const auto &key = std::get<CallerKey>(*m_exchange->bookingKey);
     const Duration life = m_exchange->config().limits.bookingKeyLifetime;
-    if (!keyAccepted(key, m_state.clock.wallNow(), life) || remaining().count() <= 0) {
+    if (!isKeyAccepted(key, m_state.clock.wallNow(), life) || remaining().count() <= 0) {
         settleNotRun();
         return refuse({ResultCode::bookingNotRun, "", spreadRetryAfter(1, m_state.random)});
     }
--- a/src/entry/document-source.cc
+++ b/src/entry/document-source.cc
@@ -88,10 +88,10 @@
         return;
     constexpr long long sweptHours = 3;
     const long long newest
-        = newestDroppedHour(m_state.clock.wallNow(), config->limits.bookingKeyLifetime);
+        = newestExpiredHour(m_state.clock.wallNow(), config->limits.bookingKeyLifetime);
     for (long long hour = newest; hour > newest - sweptHours; --hour) {
         for (int shard = 0; shard < config->limits.bookingShards; ++shard)
-            m_store.remove(claimPageOf(hour, shard), [](const StoreWrite &) {});
+            m_store.remove(claimPageNameFor(hour, shard), [](const StoreWrite &) {});
     }
 }
 
--- a/src/entry/filters.cc
+++ b/src/entry/filters.cc
@@ -298,7 +298,7 @@
             return Refusal{resultCodeOf(key.status()), std::string(key.status().message()), {}};
         const auto *callerKey = std::get_if<CallerKey>(&*key);
         const Duration life = exchange.config().limits.bookingKeyLifetime;
-        if (callerKey != nullptr && !keyAccepted(*callerKey, m_state.clock.wallNow(), life))
+        if (callerKey != nullptr && !isKeyAccepted(*callerKey, m_state.clock.wallNow(), life))
             return Refusal{ResultCode::bookingKeyForm, "the key's time is not accepted", {}};
         exchange.bookingKey = *key;
         exchange.bookingKeyText = callerKey != nullptr ? callerKey->text : *text;
--- a/test/booking-test.cc
+++ b/test/booking-test.cc
@@ -25,22 +25,22 @@
         std::uint64_t index = 0;
     };
 
-    PageWriteEnd write(const std::string &name, const WritePage &action, Fault fault,
-                       std::uint64_t &newIndex)
+    PageWriteResult write(const std::string &name, const WritePage &action, Fault fault,
+                          std::uint64_t &newIndex)
     {
         if (fault == Fault::refused)
-            return PageWriteEnd::notApplied;
+            return PageWriteResult::notApplied;
         if (fault == Fault::lostWrite)
-            return PageWriteEnd::unknown;
+            return PageWriteResult::unknown;
         if (fault == Fault::late) {
             m_late.emplace_back(name, action);
-            return PageWriteEnd::unknown;
+            return PageWriteResult::unknown;
         }
         const bool applied = apply(name, action);
         newIndex = m_pages[name].index;
         if (fault == Fault::lostAnswer)
-            return PageWriteEnd::unknown;
-        return applied ? PageWriteEnd::applied : PageWriteEnd::conflict;
+            return PageWriteResult::unknown;
+        return applied ? PageWriteResult::applied : PageWriteResult::conflict;
     }
 
     void applyOneLate()
@@ -153,7 +153,7 @@
         } else {
             const auto &write = std::get<WritePage>(action);
             std::uint64_t index = 0;
-            const PageWriteEnd end = m_store.write("page", write, fault, index);
+            const PageWriteResult end = m_store.write("page", write, fault, index);
             answer = [this, instance, call = write.call, end, index] {
                 m_writers[instance].onWritten(call, end, index, m_now);
             };
@@ -173,13 +173,13 @@
         }
         ++m_granted;
         if (!plan.connects) {
-            m_writers[instance].settle(result.attempt, plan.key, ClaimState::notRun, 0);
+            m_writers[instance].recordOutcome(result.attempt, plan.key, ClaimState::notRun, 0);
             return;
         }
         ++m_sends[plan.key];
         m_sentBy.insert(result.attempt);
         if (plan.outcomeKnown)
-            m_writers[instance].settle(result.attempt, plan.key, ClaimState::done, 200);
+            m_writers[instance].recordOutcome(result.attempt, plan.key, ClaimState::done, 200);
     }
 
     TimePoint m_now{};
@@ -316,17 +316,18 @@
 TEST_CASE("keyAccepted_afterItsPageWasDropped_isFalseOnEveryClock")
 {
     rc::prop("no instance accepts a key whose page may be gone", [] {
-        const WallTime born(std::chrono::milliseconds(*rc::gen::inRange(0, 1'000'000'000)));
+        const WallTime createdAt(std::chrono::milliseconds(*rc::gen::inRange(0, 1'000'000'000)));
         const Duration life = 24h;
         const auto skew = std::chrono::milliseconds(
             *rc::gen::inRange<long>(-clockTolerance / 1ms, clockTolerance / 1ms + 1));
-        const CallerKey key{"k", born};
+        const CallerKey key{"k", createdAt};
         // The moment at which the sweeper, by its clock, first removes the page of this hour.
-        const auto hour = std::chrono::floor<std::chrono::hours>(born.time_since_epoch()).count();
+        const auto hour
+            = std::chrono::floor<std::chrono::hours>(createdAt.time_since_epoch()).count();
         const auto dropped = WallTime(std::chrono::hours(hour + 1)) + life + 2 * clockTolerance;
-        RC_ASSERT(newestDroppedHour(dropped - 1us, life) < hour);
-        RC_ASSERT(newestDroppedHour(dropped, life) == hour);
-        RC_ASSERT(!keyAccepted(key, dropped + skew, life));
+        RC_ASSERT(newestExpiredHour(dropped - 1us, life) < hour);
+        RC_ASSERT(newestExpiredHour(dropped, life) == hour);
+        RC_ASSERT(!isKeyAccepted(key, dropped + skew, life));
     });
 }
 
@@ -334,10 +335,10 @@
 {
     rc::prop("round trip", [](std::uint64_t seed) {
         Random random(seed);
-        const WallTime born(std::chrono::milliseconds(*rc::gen::inRange(0, 2'000'000'000)));
-        const auto key = parseBookingKey(makeCallerKey(born, random));
+        const WallTime createdAt(std::chrono::milliseconds(*rc::gen::inRange(0, 2'000'000'000)));
+        const auto key = parseBookingKey(makeCallerKey(createdAt, random));
         RC_ASSERT(key.ok());
-        RC_ASSERT(std::get<CallerKey>(*key).born == born);
+        RC_ASSERT(std::get<CallerKey>(*key).createdAt == createdAt);
     });
 }
 
@@ -380,7 +381,7 @@
                 const auto parsed = std::get<IssuedKey>(*parseBookingKey(key));
                 const auto customer
                     = *rc::gen::weightedElement<std::string>({{5, "c1"}, {1, "c2"}});
-                if (keys->begin(parsed, customer, "body", now).use == IssuedUse::send) {
+                if (keys->begin(parsed, customer, "body", now).use == IssuedKeyUse::send) {
                     RC_ASSERT(customer == "c1");
                     ++mayHaveRun[key];
                     sending.insert(key);
@@ -407,12 +408,12 @@
     IssuedKeys keys("a", 7, {});
     const auto key = *keys.issue("c1", TimePoint(), random);
     const auto parsed = std::get<IssuedKey>(*parseBookingKey(key));
-    CHECK(keys.begin(parsed, "c1", "body", TimePoint()).use == IssuedUse::send);
-    CHECK(keys.begin(parsed, "c1", "body", TimePoint()).use == IssuedUse::inProgress);
+    CHECK(keys.begin(parsed, "c1", "body", TimePoint()).use == IssuedKeyUse::send);
+    CHECK(keys.begin(parsed, "c1", "body", TimePoint()).use == IssuedKeyUse::inProgress);
     keys.finishDone(key, 201, "the answer");
     const auto again = keys.begin(parsed, "c1", "body", TimePoint());
-    CHECK(again.use == IssuedUse::repeat);
+    CHECK(again.use == IssuedKeyUse::repeat);
     CHECK(again.answer == "the answer");
-    CHECK(keys.begin(parsed, "c1", "other", TimePoint()).use == IssuedUse::otherBody);
-    CHECK(keys.begin(parsed, "c2", "body", TimePoint()).use == IssuedUse::issuerGone);
+    CHECK(keys.begin(parsed, "c1", "other", TimePoint()).use == IssuedKeyUse::bodyMismatch);
+    CHECK(keys.begin(parsed, "c2", "body", TimePoint()).use == IssuedKeyUse::issuerGone);
 }
