--- a/include/ibisnotch/peer-link.h
+++ b/include/ibisnotch/peer-link.h
@@ -38,8 +38,8 @@
     std::vector<RangeMark> rangeMarks; // since protocol 3, as the next
     std::vector<ColdUpdate> colds;
     bool tellsUses = false; // since protocol 4, as the next two
-    std::vector<CustomerUse> uses; // of the sender; customers that are left out use nothing
-    std::vector<RegionUse> regionUses;
+    std::vector<CustomerUsage> uses; // of the sender; customers that are left out use nothing
+    std::vector<RegionUsage> regionUses;
 
     bool operator==(const GossipMessage &) const = default;
 };
--- a/src/entry/control-loads.cc
+++ b/src/entry/control-loads.cc
@@ -92,7 +92,7 @@
 // counterparts and the sums of all regions to its own.
 void Control::shareUses()
 {
-    if (!m_state.usage.inUse())
+    if (!m_state.usage.hasCaps())
         return;
     const TimePoint now = m_state.clock.now();
     const auto reporters = reportersByRegion(m_membership.aliveMembers());
@@ -102,17 +102,17 @@
         if (own == reporters.end())
             return;
         message.tellsUses = true;
-        message.uses = m_state.usage.ownUse(now);
+        message.uses = m_state.usage.localUsage(now);
         return m_link.sendGossip(own->second.gossipAddress, message);
     }
-    const RegionUse sum = m_state.usage.sumUp(now);
-    m_state.usage.onRegionUse(sum, now);
+    const RegionUsage sum = m_state.usage.aggregateRegion(now);
+    m_state.usage.onRegionUsage(sum, now);
     message.regionUses = {sum};
     for (const auto &[region, reporter] : reporters) {
         if (region != m_state.settings.region)
             m_link.sendGossip(reporter.gossipAddress, message);
     }
-    message.regionUses = m_state.usage.regionUses(now);
+    message.regionUses = m_state.usage.regionUsages(now);
     sendToRegion(message);
 }
 
--- a/src/entry/control.cc
+++ b/src/entry/control.cc
@@ -141,7 +141,7 @@
     watchCold();
     // What a customer near its cap takes must be known sooner than its burst is used up.
     m_state.usage.tick(now);
-    if (now >= m_nextUses || m_state.usage.pressed(now)) {
+    if (now >= m_nextUses || m_state.usage.isNearAnyCap(now)) {
         m_nextUses = now + usePeriod;
         shareUses();
     }
@@ -253,12 +253,12 @@
 void Control::noteUsagePlace()
 {
     const TimePoint now = m_state.clock.now();
-    UsagePlace place{m_state.settings.region, {}, m_membership.possibleSenders(now).size()};
+    UsageScope scope{m_state.settings.region, {}, m_membership.possibleSenders(now).size()};
     const auto config = m_state.gate.config();
     const auto &regions = config ? config->regions : m_state.settings.regions;
     for (const Region &region : regions)
-        place.regions.push_back(region.name);
-    m_state.usage.setPlace(std::move(place), now);
+        scope.regions.push_back(region.name);
+    m_state.usage.setScope(std::move(scope), now);
 }
 
 void Control::publishRouting()
@@ -342,14 +342,14 @@
         for (const ColdUpdate &news : message.colds)
             m_coldServers.onUpdate(news);
         if (message.tellsUses)
-            m_state.usage.onInstanceUse(message.probe.sender.name, message.uses, now);
+            m_state.usage.onInstanceUsage(message.probe.sender.name, message.uses, now);
         if (!message.silences.empty() || !message.colds.empty())
             publishRouting();
     }
     for (const RegionLoad &load : message.regionLoads)
         m_state.regions.onLoad(load, now);
-    for (const RegionUse &use : message.regionUses)
-        m_state.usage.onRegionUse(use, now);
+    for (const RegionUsage &use : message.regionUses)
+        m_state.usage.onRegionUsage(use, now);
     {
         const std::lock_guard lock(m_state.quarantineMutex);
         for (const CrashMark &mark : message.marks)
--- a/src/entry/dispatch-end.cc
+++ b/src/entry/dispatch-end.cc
@@ -113,7 +113,7 @@
     // What did not run is no use of the customer's.
     const bool ran = m_attempts > 0 && resultInfo(code).runState != RunState::notRun;
     if (exchange.usageCounted > 0 && !ran)
-        m_state.usage.giveBack(exchange.customer->name, exchange.usageCounted, now);
+        m_state.usage.release(exchange.customer->name, exchange.usageCounted, now);
     RequestRecord record;
     record.service = exchange.service->name;
     record.customer = exchange.customer->name;
--- a/src/entry/filters.cc
+++ b/src/entry/filters.cc
@@ -253,11 +253,11 @@
         if (exchange.fromPeer || !customer.usageCap)
             return std::nullopt;
         const double amount = amountOf(exchange.prompt, *customer.usageCap);
-        const UsageAnswer answer
-            = m_state.usage.ask(customer, amount, m_state.random.uniform(), m_state.clock.now());
-        if (!answer.fits)
-            return Refusal{ResultCode::usageCapReached, reasonText(answer, customer),
-                           spreadRetryAfter(seconds(answer.retryAfter), m_state.random)};
+        const UsageDecision decision
+            = m_state.usage.admit(customer, amount, m_state.random.uniform(), m_state.clock.now());
+        if (!decision.fits)
+            return Refusal{ResultCode::usageCapReached, reasonText(decision, customer),
+                           spreadRetryAfter(seconds(decision.retryAfter), m_state.random)};
         exchange.usageCounted = amount;
         return std::nullopt;
     }
@@ -271,11 +271,12 @@
         return named > 0 ? static_cast<double>(named) : cap.plainTokens;
     }
 
-    static std::string reasonText(const UsageAnswer &answer, const Customer &customer)
+    static std::string reasonText(const UsageDecision &decision, const Customer &customer)
     {
-        return fmt::format("asked:{:.0f},limit:{:.0f},cap:{:.0f},level:{:.0f},age:{}", answer.asked,
-                           answer.limit, customer.usageCap->perSecond, answer.level,
-                           answer.newsAge ? millisecondsText(*answer.newsAge) : "alone");
+        return fmt::format(
+            "asked:{:.0f},limit:{:.0f},cap:{:.0f},level:{:.0f},age:{}", decision.requested,
+            decision.limit, customer.usageCap->perSecond, decision.level,
+            decision.regionUsageAge ? millisecondsText(*decision.regionUsageAge) : "alone");
     }
 
     EntryState &m_state;
--- a/src/entry/operators.cc
+++ b/src/entry/operators.cc
@@ -136,8 +136,8 @@
     for (const UsageCaps::CustomerState &state : states) {
         if (state.name != customer.name)
             continue;
-        usage["askedPerSecond"] = state.asked;
-        usage["takenPerSecond"] = state.taken;
+        usage["askedPerSecond"] = state.requested;
+        usage["takenPerSecond"] = state.consumed;
         usage["level"] = state.level;
     }
     return usage;
--- a/test/usage-cap-test.cc
+++ b/test/usage-cap-test.cc
@@ -139,12 +139,12 @@
                 continue;
             const double units = amount();
             asked += units;
-            if (!node.usage->ask(customer, units, m_random.uniform(), now).fits)
+            if (!node.usage->admit(customer, units, m_random.uniform(), now).fits)
                 refused += units;
             else if (m_random.uniform() < ranPart)
                 m_taken.emplace_back(now, units);
             else
-                node.usage->giveBack(customer.name, units, now);
+                node.usage->release(customer.name, units, now);
         }
     }
 
@@ -171,9 +171,9 @@
     void control(Node &node, bool first)
     {
         UsageCaps &usage = *node.usage;
-        usage.setPlace({node.region, {"a", "b", "c"}, m_nodes.size() / 3}, now);
+        usage.setScope({node.region, {"a", "b", "c"}, m_nodes.size() / 3}, now);
         usage.tick(now);
-        if (now < node.nextUses && !usage.pressed(now))
+        if (now < node.nextUses && !usage.isNearAnyCap(now))
             return;
         node.nextUses = now + usePeriod;
         if (first)
@@ -181,9 +181,10 @@
         for (Node &other : m_nodes) {
             if (other.region != node.region)
                 continue;
-            send(node, other, [this, to = other.usage, name = node.name, uses = usage.ownUse(now)] {
-                to->onInstanceUse(name, uses, now);
-            });
+            send(node, other,
+                 [this, to = other.usage, name = node.name, uses = usage.localUsage(now)] {
+                     to->onInstanceUsage(name, uses, now);
+                 });
             return;
         }
     }
@@ -191,17 +192,17 @@
     void tellSums(Node &node)
     {
         UsageCaps &usage = *node.usage;
-        usage.onRegionUse(usage.sumUp(now), now);
+        usage.onRegionUsage(usage.aggregateRegion(now), now);
         for (Node &other : m_nodes) {
             if (&other == &node)
                 continue;
-            std::vector<RegionUse> uses = usage.regionUses(now);
+            std::vector<RegionUsage> uses = usage.regionUsages(now);
             if (other.region != node.region)
                 std::erase_if(uses,
-                              [&](const RegionUse &use) { return use.region != node.region; });
+                              [&](const RegionUsage &use) { return use.region != node.region; });
             send(node, other, [this, to = other.usage, uses] {
-                for (const RegionUse &use : uses)
-                    to->onRegionUse(use, now);
+                for (const RegionUsage &use : uses)
+                    to->onRegionUsage(use, now);
             });
         }
     }
@@ -324,10 +325,10 @@
     customer.usageCap = UsageCap{false, 10, 10, 0};
     usage.setCaps({{customer.name, customer}});
     const TimePoint now{10s};
-    CHECK(usage.ask(customer, 1, 0, now).fits);
-    CHECK(usage.ownUse(now).front().taken > 0);
-    usage.giveBack("c", 1, now);
-    CHECK(usage.ownUse(now).front().taken == 0);
+    CHECK(usage.admit(customer, 1, 0, now).fits);
+    CHECK(usage.localUsage(now).front().consumed > 0);
+    usage.release("c", 1, now);
+    CHECK(usage.localUsage(now).front().consumed == 0);
 }
 
 // Guards against a limit where the configuration sets none.
@@ -337,8 +338,8 @@
     Customer customer;
     customer.name = "c";
     usage.setCaps({{customer.name, customer}});
-    CHECK(usage.ask(customer, 1e12, 0.99, TimePoint{1s}).fits);
-    CHECK_FALSE(usage.inUse());
+    CHECK(usage.admit(customer, 1e12, 0.99, TimePoint{1s}).fits);
+    CHECK_FALSE(usage.hasCaps());
 }
 
 // Guards against a lowered cap that goes on giving out what was saved up under the old one.
@@ -349,9 +350,9 @@
     customer.name = "c";
     customer.usageCap = UsageCap{true, largeCap, largeCap, 0};
     usage.setCaps({{customer.name, customer}});
-    usage.setPlace({"a", {"a"}, 1}, TimePoint{1s});
+    usage.setScope({"a", {"a"}, 1}, TimePoint{1s});
     for (TimePoint now{1s}; now < TimePoint{20s}; now += tick) {
-        usage.onRegionUse({"a", 0, {}}, now);
+        usage.onRegionUsage({"a", 0, {}}, now);
         usage.tick(now);
     }
     const double before = usage.states(TimePoint{20s}).front().level;
