--- a/include/ibisnotch/peer-link.h
+++ b/include/ibisnotch/peer-link.h
@@ -13,7 +13,7 @@
 #include "ibisnotch/membership.h"
 #include "ibisnotch/process-settings.h"
 #include "ibisnotch/quarantine.h"
-#include "ibisnotch/range-news.h"
+#include "ibisnotch/range-update.h"
 #include "ibisnotch/region-choice.h"
 #include "ibisnotch/server-table.h"
 #include "ibisnotch/silence.h"
@@ -34,8 +34,8 @@
     std::vector<RegionLoad> regionLoads;
     std::vector<CrashMark> marks;
     std::vector<SilenceUpdate> silences; // since protocol 2, as the next
-    std::vector<RangeNews> ranges;
-    std::vector<RangeMark> rangeMarks; // since protocol 3, as the next
+    std::vector<RangeUpdate> ranges;
+    std::vector<RangePosition> rangeMarks; // since protocol 3, as the next
     std::vector<ColdUpdate> colds;
     bool tellsUses = false; // since protocol 4, as the next two
     std::vector<CustomerUsage> uses; // of the sender; customers that are left out use nothing
@@ -55,7 +55,7 @@
     std::uint16_t protocol = peerProtocol;
     std::uint64_t haveVersion = 0;
     bool wantMembers = false;
-    std::vector<RangeQuestion> ranges; // since protocol 3
+    std::vector<RangeRequest> ranges; // since protocol 3
     bool operator==(const PeerRequest &) const = default;
 };
 
--- a/include/ibisnotch/range-news.h
+++ b/include/ibisnotch/range-update.h
@@ -10,7 +10,7 @@
 
 namespace ibisnotch {
 
-struct RangeNews
+struct RangeUpdate
 {
     std::string prefix;
     // All changes with revisions above `base`, up to `asOf`. 0: all keys that exist.
@@ -22,11 +22,11 @@
     {
         archive(prefix, base, asOf, items);
     }
-    bool operator==(const RangeNews &) const = default;
+    bool operator==(const RangeUpdate &) const = default;
 };
 
 // How far an instance knows a range. Goes with probes, so it names the range by a hash.
-struct RangeMark
+struct RangePosition
 {
     std::uint32_t range = 0; // rangeId of its prefix
     std::uint64_t lastChange = 0; // revision of the last change that is known
@@ -36,26 +36,26 @@
     {
         archive(range, lastChange, ageMs);
     }
-    bool operator==(const RangeMark &) const = default;
+    bool operator==(const RangePosition &) const = default;
 };
 
 // Asks for the changes of a range.
-struct RangeQuestion
+struct RangeRequest
 {
     std::uint32_t range = 0;
     std::uint64_t known = 0; // the revision up to which the asker knows all
 
     template <typename Archive> void serialize(Archive &archive) { archive(range, known); }
-    bool operator==(const RangeQuestion &) const = default;
+    bool operator==(const RangeRequest &) const = default;
 };
 
 // What an instance that asks for a range is told.
 struct RangeReply
 {
-    RangeNews news;
-    std::uint32_t ageMs = 0; // as in RangeMark
+    RangeUpdate update;
+    std::uint32_t ageMs = 0; // as in RangePosition
 
-    template <typename Archive> void serialize(Archive &archive) { archive(news, ageMs); }
+    template <typename Archive> void serialize(Archive &archive) { archive(update, ageMs); }
     bool operator==(const RangeReply &) const = default;
 };
 
@@ -63,13 +63,14 @@
 
 // News that fits into a datagram. Changes that do not are left out and `base` raised, so that
 // whoever hears of it asks the store.
-RangeNews makeNews(const std::string &prefix, std::uint64_t base, std::uint64_t asOf,
-                   std::vector<StoreItem> changes);
+RangeUpdate makeRangeUpdate(const std::string &prefix, std::uint64_t base, std::uint64_t asOf,
+                            std::vector<StoreItem> changes);
 
-// All changes since `base`, oldest first, each as the store made it, in a few pieces of news, each
-// of which goes on where the one before ends. So a burst of changes, as when a data centre's
+// All changes since `base`, oldest first, each as the store made it, in a few pieces of update,
+// each of which goes on where the one before ends. So a burst of changes, as when a data centre's
 // servers come back, does not send every instance to the store.
-std::vector<RangeNews> newsOfWatch(const std::string &prefix, std::uint64_t base,
-                                   std::uint64_t asOf, const std::vector<StoreItem> &changes);
+std::vector<RangeUpdate> updatesFromWatch(const std::string &prefix, std::uint64_t base,
+                                          std::uint64_t asOf,
+                                          const std::vector<StoreItem> &changes);
 
 } // namespace ibisnotch
--- a/src/decide/prefix-follower.cc
+++ b/src/decide/prefix-follower.cc
@@ -4,33 +4,35 @@
 
 namespace ibisnotch {
 
-std::optional<FollowCall> PrefixFollower::next(TimePoint now)
+std::optional<FollowCall> PrefixFollower::nextCall(TimePoint now)
 {
-    if (m_underWay || now < m_notBefore)
+    if (m_callPending || now < m_nextCallAt)
         return std::nullopt;
-    if (m_watching && m_role == FollowRole::listener && now < m_heardUntil)
+    if (m_watching && m_role == FollowRole::listener && now < m_updateValidUntil)
         return std::nullopt;
-    m_underWay = true;
-    m_listUnderWay = !m_watching;
+    m_callPending = true;
+    m_listPending = !m_watching;
     if (!m_watching)
         return ListCall{m_after};
-    return WatchCall{m_asOf, watchTime(now)};
+    return WatchCall{m_asOf, watchTimeout(now)};
 }
 
-Duration PrefixFollower::watchTime(TimePoint now) const
+Duration PrefixFollower::watchTimeout(TimePoint now) const
 {
-    const bool often = m_role == FollowRole::relay || now < m_waryUntil;
-    return often ? m_limits.relayWatchTime : m_limits.watchTime;
+    const bool useShortWatch = m_role == FollowRole::relay || now < m_shortWatchUntil;
+    return useShortWatch ? m_limits.relayWatchTimeout : m_limits.watchTimeout;
 }
 
-Duration PrefixFollower::life(TimePoint now) const
+Duration PrefixFollower::validity(TimePoint now) const
 {
-    constexpr Duration way = std::chrono::seconds(1); // of an answer, and of what a peer tells
-    const Duration between = now < m_waryUntil ? m_limits.relayWatchTime : m_limits.watchTime;
-    return between + way;
+    constexpr Duration responseDelay
+        = std::chrono::seconds(1); // of an answer, and of what a peer tells
+    const Duration watchInterval
+        = now < m_shortWatchUntil ? m_limits.relayWatchTimeout : m_limits.watchTimeout;
+    return watchInterval + responseDelay;
 }
 
-void PrefixFollower::startOver()
+void PrefixFollower::restartListing()
 {
     m_watching = false;
     m_after.clear();
@@ -38,136 +40,136 @@
     m_listAsOf = 0;
 }
 
-std::vector<StoreItem> PrefixFollower::onAnswer(const StorePage &page, TimePoint now)
+std::vector<StoreItem> PrefixFollower::onResponse(const StorePage &page, TimePoint now)
 {
-    m_underWay = false;
+    m_callPending = false;
     if (page.end == StoreEnd::historyLost) {
-        startOver();
+        restartListing();
         return {};
     }
     if (page.end != StoreEnd::ok) {
-        const Duration pause = m_limits.firstPause * (1 << std::min(m_failures, 4));
-        m_notBefore = now + std::min(pause, m_limits.longestPause);
+        const Duration pause = m_limits.initialRetryDelay * (1 << std::min(m_failures, 4));
+        m_nextCallAt = now + std::min(pause, m_limits.maxRetryDelay);
         ++m_failures;
-        m_waryUntil = now + m_limits.waryTime;
-        // A page that was lost on the way is asked for again; the pass goes on.
+        m_shortWatchUntil = now + m_limits.shortWatchPeriod;
+        // A page that was lost on the responseDelay is asked for again; the pass goes on.
         return {};
     }
     m_failures = 0;
-    m_heardAt = now;
+    m_lastConfirmedAt = now;
     if (!m_watching) {
-        m_heardUntil = now + m_limits.newsLife;
-        return onList(page);
+        m_updateValidUntil = now + m_limits.updateValidity;
+        return onListPage(page);
     }
-    // Another instance told the whole range while a page of it was under way. A page does not name
-    // the keys that were removed since.
-    if (m_listUnderWay)
+    // Another instance told the isFullRange range while a page of it was under responseDelay. A
+    // page does not name the keys that were removed since.
+    if (m_listPending)
         return {};
-    m_notBefore = page.items.empty() ? now : now + m_limits.gather;
+    m_nextCallAt = page.items.empty() ? now : now + m_limits.coalesceDelay;
     std::vector<StoreItem> items = page.items;
-    dropKnown(items);
+    dropKnownRevisions(items);
     m_asOf = std::max(m_asOf, page.asOf);
     return apply(items);
 }
 
 // What was heard of meanwhile. A key that was written and removed again is known as removed; the
 // write, coming late, would bring it back for good.
-void PrefixFollower::dropKnown(std::vector<StoreItem> &items) const
+void PrefixFollower::dropKnownRevisions(std::vector<StoreItem> &items) const
 {
     std::erase_if(items, [this](const StoreItem &item) { return item.revision <= m_asOf; });
 }
 
-std::vector<StoreItem> PrefixFollower::onNews(const RangeNews &news, TimePoint at)
+std::vector<StoreItem> PrefixFollower::onUpdate(const RangeUpdate &update, TimePoint at)
 {
-    if (news.base == 0 && (news.asOf > m_asOf || !m_watching)) {
-        m_heardAt = std::max(m_heardAt, at);
-        return onWhole(news);
+    if (update.base == 0 && (update.asOf > m_asOf || !m_watching)) {
+        m_lastConfirmedAt = std::max(m_lastConfirmedAt, at);
+        return onFullRange(update);
     }
     if (!m_watching)
         return {};
-    if (news.base > m_asOf) {
-        m_heardUntil = at;
+    if (update.base > m_asOf) {
+        m_updateValidUntil = at;
         return {};
     }
-    if (news.asOf < m_asOf)
+    if (update.asOf < m_asOf)
         return {};
-    m_heardUntil = at + m_limits.newsLife;
-    m_heardAt = std::max(m_heardAt, at);
-    std::vector<StoreItem> items = news.items;
-    dropKnown(items);
+    m_updateValidUntil = at + m_limits.updateValidity;
+    m_lastConfirmedAt = std::max(m_lastConfirmedAt, at);
+    std::vector<StoreItem> items = update.items;
+    dropKnownRevisions(items);
     std::vector<StoreItem> changes = apply(items);
-    for (StoreItem &item : removeUnnamed(news))
+    for (StoreItem &item : removeUnnamedKeys(update))
         changes.push_back(std::move(item));
-    m_asOf = news.asOf;
+    m_asOf = update.asOf;
     return changes;
 }
 
-std::vector<StoreItem> PrefixFollower::removeUnnamed(const RangeNews &news)
+std::vector<StoreItem> PrefixFollower::removeUnnamedKeys(const RangeUpdate &update)
 {
     std::map<std::string, std::uint64_t> named; // with the last change that is told
-    for (const StoreItem &item : news.items)
+    for (const StoreItem &item : update.items)
         named[item.key] = std::max(named[item.key], item.revision);
     std::vector<StoreItem> removals;
     for (const auto &[key, item] : m_items) {
-        const bool changedSince = item.revision > news.base && item.revision <= news.asOf;
+        const bool changedSince = item.revision > update.base && item.revision <= update.asOf;
         if (changedSince && named[key] < item.revision)
-            removals.push_back({key, "", news.asOf, true});
+            removals.push_back({key, "", update.asOf, true});
     }
     return apply(removals);
 }
 
-std::vector<StoreItem> PrefixFollower::onWhole(const RangeNews &news)
+std::vector<StoreItem> PrefixFollower::onFullRange(const RangeUpdate &update)
 {
     // What was read itself before the reading was broken off may be newer.
-    if (news.asOf < m_asOf)
+    if (update.asOf < m_asOf)
         return {};
     std::set<std::string> listed;
-    for (const StoreItem &item : news.items)
+    for (const StoreItem &item : update.items)
         listed.insert(item.key);
-    std::vector<StoreItem> changes = apply(news.items);
-    for (StoreItem &item : removeOthers(listed, news.asOf, true))
+    std::vector<StoreItem> changes = apply(update.items);
+    for (StoreItem &item : removeUnlistedKeys(listed, update.asOf, true))
         changes.push_back(std::move(item));
-    m_pagesAsOf = news.asOf;
-    m_asOf = news.asOf;
+    m_pagesAsOf = update.asOf;
+    m_asOf = update.asOf;
     m_complete = true;
-    startOver();
+    restartListing();
     m_watching = true;
     return changes;
 }
 
-bool PrefixFollower::onMark(std::uint64_t lastChange, TimePoint at)
+bool PrefixFollower::onPosition(std::uint64_t lastChange, TimePoint at)
 {
     if (!m_watching || lastChange > m_asOf)
         return lastChange == 0;
-    m_heardAt = std::max(m_heardAt, at);
-    m_heardUntil = std::max(m_heardUntil, at + m_limits.newsLife);
+    m_lastConfirmedAt = std::max(m_lastConfirmedAt, at);
+    m_updateValidUntil = std::max(m_updateValidUntil, at + m_limits.updateValidity);
     return true;
 }
 
-std::optional<RangeNews> PrefixFollower::newsSince(const std::string &prefix,
-                                                   std::uint64_t revision) const
+std::optional<RangeUpdate> PrefixFollower::updateSince(const std::string &prefix,
+                                                       std::uint64_t revision) const
 {
     if (!m_watching || m_asOf < m_pagesAsOf)
         return std::nullopt;
-    const bool blind = revision >= m_blindFrom && revision < m_blindUntil;
-    const std::uint64_t base = blind ? m_blindFrom : revision;
-    const bool whole = base < m_removedSince;
-    RangeNews news{prefix, whole ? 0 : base, m_asOf, {}};
+    const bool inGap = revision >= m_gapStart && revision < m_gapEnd;
+    const std::uint64_t base = inGap ? m_gapStart : revision;
+    const bool isFullRange = base < m_removedSince;
+    RangeUpdate update{prefix, isFullRange ? 0 : base, m_asOf, {}};
     for (const auto &[key, item] : m_items) {
-        if (item.revision > news.base)
-            news.items.push_back(item);
+        if (item.revision > update.base)
+            update.items.push_back(item);
     }
     for (const auto &[key, removal] : m_removed) {
-        if (!whole && removal > base)
-            news.items.push_back({key, "", removal, true});
+        if (!isFullRange && removal > base)
+            update.items.push_back({key, "", removal, true});
     }
-    return news;
+    return update;
 }
 
-std::vector<StoreItem> PrefixFollower::onList(const StorePage &page)
+std::vector<StoreItem> PrefixFollower::onListPage(const StorePage &page)
 {
     // Pages are read one after the other while keys change. Watching from the first page's revision
-    // repeats what changed since, so nothing is missed between two pages.
+    // repeats what changed since, so nothing is missed watchInterval two pages.
     if (m_listAsOf == 0)
         m_listAsOf = page.asOf;
     for (const StoreItem &item : page.items)
@@ -177,18 +179,18 @@
         m_after = page.items.back().key;
         return changes;
     }
-    for (StoreItem &item : removeOthers(m_listed, m_listAsOf, page.asOf == m_listAsOf))
+    for (StoreItem &item : removeUnlistedKeys(m_listed, m_listAsOf, page.asOf == m_listAsOf))
         changes.push_back(std::move(item));
     m_pagesAsOf = page.asOf;
     m_asOf = m_listAsOf;
     m_complete = true;
-    startOver();
+    restartListing();
     m_watching = true;
     return changes;
 }
 
-std::vector<StoreItem> PrefixFollower::removeOthers(const std::set<std::string> &listed,
-                                                    std::uint64_t asOf, bool snapshot)
+std::vector<StoreItem> PrefixFollower::removeUnlistedKeys(const std::set<std::string> &listed,
+                                                          std::uint64_t asOf, bool snapshot)
 {
     std::vector<StoreItem> removals;
     for (const auto &[key, item] : m_items) {
@@ -198,13 +200,13 @@
     }
     const bool knowsGap = m_complete && snapshot && m_asOf >= m_pagesAsOf;
     if (knowsGap) {
-        m_removedSince = std::max(m_removedSince, m_blindUntil);
-        m_blindFrom = m_asOf;
-        m_blindUntil = asOf;
+        m_removedSince = std::max(m_removedSince, m_gapEnd);
+        m_gapStart = m_asOf;
+        m_gapEnd = asOf;
     } else {
         m_removed.clear();
         m_removedSince = asOf;
-        m_blindFrom = m_blindUntil = 0;
+        m_gapStart = m_gapEnd = 0;
     }
     // Others may know keys that were written and removed again since this instance last heard.
     m_lastChange = std::max(m_lastChange, asOf);
@@ -217,11 +219,11 @@
     for (const StoreItem &item : items) {
         m_lastChange = std::max(m_lastChange, item.revision);
         const auto known = m_items.find(item.key);
-        // An answer that took long on its way must not bring back an older value.
+        // An answer that took long on its responseDelay must not bring back an older value.
         if (known != m_items.end() && item.revision <= known->second.revision)
             continue;
         if (item.deleted)
-            noteRemoved(item);
+            recordRemoval(item);
         if (item.deleted && known == m_items.end() && latest.count(item.key) == 0)
             continue;
         auto &kept = latest[item.key];
@@ -244,11 +246,11 @@
 }
 
 // Also of a key that was not known here; another instance may know it.
-void PrefixFollower::noteRemoved(const StoreItem &item)
+void PrefixFollower::recordRemoval(const StoreItem &item)
 {
     auto &removal = m_removed[item.key];
     removal = std::max(removal, item.revision);
-    if (m_removed.size() <= m_limits.mostRemoved)
+    if (m_removed.size() <= m_limits.maxRemovals)
         return;
     const auto oldest
         = std::min_element(m_removed.begin(), m_removed.end(),
@@ -257,17 +259,18 @@
     m_removed.erase(oldest);
 }
 
-std::vector<RangeNews> newsOf(const std::string &prefix, std::uint64_t base, bool watched,
-                              const PrefixFollower &follower, const StorePage &page)
+std::vector<RangeUpdate> updatesFromResponse(const std::string &prefix, std::uint64_t base,
+                                             bool watched, const PrefixFollower &follower,
+                                             const StorePage &page)
 {
-    if (page.end != StoreEnd::ok || !follower.watching() || base == 0)
+    if (page.end != StoreEnd::ok || !follower.isWatching() || base == 0)
         return {};
     if (watched)
-        return newsOfWatch(prefix, base, follower.asOf(), page.items);
-    const auto news = follower.newsSince(prefix, base);
-    if (!news)
+        return updatesFromWatch(prefix, base, follower.asOf(), page.items);
+    const auto update = follower.updateSince(prefix, base);
+    if (!update)
         return {};
-    return {makeNews(prefix, news->base, news->asOf, news->items)};
+    return {makeRangeUpdate(prefix, update->base, update->asOf, update->items)};
 }
 
 } // namespace ibisnotch
--- a/src/decide/range-news.cc
+++ b/src/decide/range-update.cc
@@ -1,4 +1,4 @@
-#include "ibisnotch/range-news.h"
+#include "ibisnotch/range-update.h"
 
 #include "ibisnotch/hash.h"
 
@@ -6,13 +6,13 @@
 
 namespace {
 
-// Half of the largest datagram between instances; a server's entry takes about 250 bytes.
-constexpr std::size_t largestNews = 8192;
+// Half of the largest datagram watchInterval instances; a server's entry takes about 250 bytes.
+constexpr std::size_t maxUpdateBytes = 8192;
 // What all members of a large region are sent takes its time on a slow link; beyond this the store
 // tells them sooner.
-constexpr std::size_t mostPieces = 3;
+constexpr std::size_t maxPieces = 3;
 // Leaves room for the other changes of the last revision.
-constexpr std::size_t fullPiece = largestNews / 2;
+constexpr std::size_t pieceSplitBytes = maxUpdateBytes / 2;
 
 std::size_t sizeOf(const StoreItem &item)
 {
@@ -26,27 +26,27 @@
     return static_cast<std::uint32_t>(hash64(prefix));
 }
 
-RangeNews makeNews(const std::string &prefix, std::uint64_t base, std::uint64_t asOf,
-                   std::vector<StoreItem> changes)
+RangeUpdate makeRangeUpdate(const std::string &prefix, std::uint64_t base, std::uint64_t asOf,
+                            std::vector<StoreItem> changes)
 {
     std::size_t size = 0;
     for (const StoreItem &item : changes)
         size += sizeOf(item);
-    if (size > largestNews)
+    if (size > maxUpdateBytes)
         return {prefix, asOf, asOf, {}};
     return {prefix, base, asOf, std::move(changes)};
 }
 
-std::vector<RangeNews> newsOfWatch(const std::string &prefix, std::uint64_t base,
-                                   std::uint64_t asOf, const std::vector<StoreItem> &changes)
+std::vector<RangeUpdate> updatesFromWatch(const std::string &prefix, std::uint64_t base,
+                                          std::uint64_t asOf, const std::vector<StoreItem> &changes)
 {
-    std::vector<RangeNews> pieces{{prefix, base, asOf, {}}};
+    std::vector<RangeUpdate> pieces{{prefix, base, asOf, {}}};
     std::size_t size = 0;
     for (const StoreItem &item : changes) {
-        RangeNews &piece = pieces.back();
+        RangeUpdate &piece = pieces.back();
         // Changes of one revision belong together.
         const bool begins = !piece.items.empty() && piece.items.back().revision < item.revision;
-        if (begins && size > fullPiece) {
+        if (begins && size > pieceSplitBytes) {
             const std::uint64_t last = piece.items.back().revision;
             piece.asOf = last;
             pieces.push_back({prefix, last, asOf, {}});
@@ -55,10 +55,10 @@
         size += sizeOf(item);
         pieces.back().items.push_back(item);
     }
-    if (pieces.size() > mostPieces)
+    if (pieces.size() > maxPieces)
         return {{prefix, asOf, asOf, {}}};
-    for (RangeNews &piece : pieces)
-        piece = makeNews(prefix, piece.base, piece.asOf, std::move(piece.items));
+    for (RangeUpdate &piece : pieces)
+        piece = makeRangeUpdate(prefix, piece.base, piece.asOf, std::move(piece.items));
     return pieces;
 }
 
--- a/src/entry/control.cc
+++ b/src/entry/control.cc
@@ -311,7 +311,7 @@
     return static_cast<std::size_t>(local) + 1;
 }
 
-void Control::tellRegion(RangeNews news)
+void Control::tellRegion(RangeUpdate news)
 {
     const bool changes = !news.items.empty();
     GossipMessage message = emptyNews();
@@ -337,7 +337,7 @@
             m_routingDirty |= m_state.servers.onReport(load, now);
         for (const SilenceUpdate &news : message.silences)
             m_silentServers.onUpdate(news);
-        for (const RangeNews &news : message.ranges)
+        for (const RangeUpdate &news : message.ranges)
             m_source->onNews(news, from);
         for (const ColdUpdate &news : message.colds)
             m_coldServers.onUpdate(news);
@@ -374,7 +374,7 @@
     return reply;
 }
 
-void Control::askPeer(const std::string &gossipAddress, std::vector<RangeQuestion> questions,
+void Control::askPeer(const std::string &gossipAddress, std::vector<RangeRequest> questions,
                       std::function<void(std::optional<PeerReply>)> done)
 {
     PeerRequest request;
--- a/src/entry/control.h
+++ b/src/entry/control.h
@@ -42,9 +42,9 @@
     bool amongFirst(std::string_view key, std::size_t count) const;
     // Instances of the region that are alive, this one included.
     std::size_t regionSize() const;
-    void tellRegion(RangeNews news);
+    void tellRegion(RangeUpdate news);
     // Asks another instance for what is newer of these ranges; null if it does not answer.
-    void askPeer(const std::string &gossipAddress, std::vector<RangeQuestion> questions,
+    void askPeer(const std::string &gossipAddress, std::vector<RangeRequest> questions,
                  std::function<void(std::optional<PeerReply>)> done);
     // Publishes the routing table and tells a few members at once.
     void spreadNews();
--- a/src/entry/range-source.cc
+++ b/src/entry/range-source.cc
@@ -49,10 +49,10 @@
             continue;
         const PrefixFollower &follower = range->follower;
         m_state.servers.setListState(
-            {follower.asOf(), follower.heardAt(), follower.life(m_state.clock.now())});
-        if (follower.heardAt() != TimePoint{})
+            {follower.asOf(), follower.lastConfirmedAt(), follower.validity(m_state.clock.now())});
+        if (follower.lastConfirmedAt() != TimePoint{})
             m_state.metrics.setGauge("ibisnotch_server_list_age_seconds",
-                                     seconds(m_state.clock.now() - follower.heardAt()));
+                                     seconds(m_state.clock.now() - follower.lastConfirmedAt()));
         m_state.metrics.setGauge("ibisnotch_server_list_revision",
                                  static_cast<double>(follower.asOf()));
     }
@@ -64,7 +64,8 @@
         if (range->prefix != m_format->configPrefix())
             continue;
         const PrefixFollower &follower = range->follower;
-        m_state.configSureUntil = follower.heardAt() + follower.life(m_state.clock.now());
+        m_state.configSureUntil
+            = follower.lastConfirmedAt() + follower.validity(m_state.clock.now());
     }
 }
 
@@ -90,40 +91,40 @@
     return found == m_ranges.end() ? nullptr : found->get();
 }
 
-void RangeSource::onNews(const RangeNews &news, const std::string &from)
+void RangeSource::onNews(const RangeUpdate &news, const std::string &from)
 {
     Range *range = findRange(rangeId(news.prefix));
     if (range == nullptr)
         return;
     takeNews(*range, news, m_state.clock.now());
-    if (news.asOf > range->follower.asOf() && !range->follower.reachable())
+    if (news.asOf > range->follower.asOf() && !range->follower.isStoreReachable())
         askPeer(*range, from);
 }
 
-bool RangeSource::takeNews(Range &range, const RangeNews &news, TimePoint at)
+bool RangeSource::takeNews(Range &range, const RangeUpdate &news, TimePoint at)
 {
-    const std::vector<StoreItem> changes = range.follower.onNews(news, at);
+    const std::vector<StoreItem> changes = range.follower.onUpdate(news, at);
     for (const StoreItem &item : changes)
         apply(item, sourcePeer);
     publish();
     return !changes.empty();
 }
 
-std::vector<RangeMark> RangeSource::marks() const
+std::vector<RangePosition> RangeSource::marks() const
 {
-    std::vector<RangeMark> marks;
+    std::vector<RangePosition> marks;
     const TimePoint now = m_state.clock.now();
     for (const auto &range : m_ranges) {
         if (range->follower.lastChange() > 0)
-            marks.push_back(
-                {range->id, range->follower.lastChange(), ageInMs(range->follower.heardAt(), now)});
+            marks.push_back({range->id, range->follower.lastChange(),
+                             ageInMs(range->follower.lastConfirmedAt(), now)});
     }
     return marks;
 }
 
-void RangeSource::onMarks(const std::vector<RangeMark> &marks, const std::string &from)
+void RangeSource::onMarks(const std::vector<RangePosition> &marks, const std::string &from)
 {
-    for (const RangeMark &mark : marks) {
+    for (const RangePosition &mark : marks) {
         if (Range *range = findRange(mark.range))
             onMark(*range, mark, from);
     }
@@ -132,12 +133,12 @@
 // The store may turn single instances away, or its answers may be lost, for as long as it likes.
 // Without its neighbours' knowledge an instance would go on sending to servers that have been
 // evacuated, are leaving or bear little since they turned cold.
-void RangeSource::onMark(Range &range, const RangeMark &mark, const std::string &from)
+void RangeSource::onMark(Range &range, const RangePosition &mark, const std::string &from)
 {
     const TimePoint now = m_state.clock.now();
-    if (range.follower.onMark(mark.lastChange, now - std::chrono::milliseconds(mark.ageMs)))
+    if (range.follower.onPosition(mark.lastChange, now - std::chrono::milliseconds(mark.ageMs)))
         return;
-    if (!range.follower.reachable())
+    if (!range.follower.isStoreReachable())
         return askPeer(range, from);
     // The store's own answer is likely to be on its way.
     m_control.postAfter(storeIsFirst, [this, &range, from, missed = mark.lastChange] {
@@ -151,19 +152,19 @@
     if (range.asking)
         return;
     range.asking = true;
-    const bool watching = range.follower.watching();
+    const bool watching = range.follower.isWatching();
     const std::uint64_t known = watching ? range.follower.asOf() : 0;
     logLine(LogPart::store, LogLevel::info, "Changes asked of a peer.",
             {{"range", range.prefix},
              {"peer", from},
              {"known", std::to_string(known)},
-             {"storeReachable", range.follower.reachable() ? "yes" : "no"}});
+             {"storeReachable", range.follower.isStoreReachable() ? "yes" : "no"}});
     m_control.askPeer(from, {{range.id, known}}, [this, &range](const auto &reply) {
         range.asking = false;
         if (!reply)
             return;
         for (const RangeReply &one : reply->ranges) {
-            if (rangeId(one.news.prefix) == range.id)
+            if (rangeId(one.update.prefix) == range.id)
                 takeReply(range, one);
         }
     });
@@ -172,23 +173,24 @@
 void RangeSource::takeReply(Range &range, const RangeReply &reply)
 {
     const TimePoint at = m_state.clock.now() - std::chrono::milliseconds(reply.ageMs);
-    const RangeNews &news = reply.news;
+    const RangeUpdate &news = reply.update;
     const bool changed = takeNews(range, news, at);
     // The store may answer nobody in the region, so that this is the first to hear it.
     if (changed && news.base > 0)
-        m_control.tellRegion(makeNews(news.prefix, news.base, news.asOf, news.items));
+        m_control.tellRegion(makeRangeUpdate(news.prefix, news.base, news.asOf, news.items));
 }
 
-std::vector<RangeReply> RangeSource::newsSince(const std::vector<RangeQuestion> &questions) const
+std::vector<RangeReply> RangeSource::newsSince(const std::vector<RangeRequest> &questions) const
 {
     std::vector<RangeReply> replies;
     const TimePoint now = m_state.clock.now();
-    for (const RangeQuestion &question : questions) {
+    for (const RangeRequest &question : questions) {
         for (const auto &range : m_ranges) {
             if (range->id != question.range)
                 continue;
-            if (auto news = range->follower.newsSince(range->prefix, question.known))
-                replies.push_back({*std::move(news), ageInMs(range->follower.heardAt(), now)});
+            if (auto news = range->follower.updateSince(range->prefix, question.known))
+                replies.push_back(
+                    {*std::move(news), ageInMs(range->follower.lastConfirmedAt(), now)});
         }
     }
     return replies;
@@ -196,7 +198,7 @@
 
 void RangeSource::advance(Range &range)
 {
-    const auto call = range.follower.next(m_state.clock.now());
+    const auto call = range.follower.nextCall(m_state.clock.now());
     if (!call)
         return;
     const auto done = [this, &range](const StorePage &page) {
@@ -206,22 +208,23 @@
     if (const auto *list = std::get_if<ListCall>(&*call))
         return m_store->list(range.prefix, list->after, done);
     const auto &watch = std::get<WatchCall>(*call);
-    m_store->watchRange(range.prefix, watch.afterRevision, watch.longest, done);
+    m_store->watchRange(range.prefix, watch.afterRevision, watch.maxWait, done);
 }
 
 void RangeSource::onPage(Range &range, StorePage page)
 {
     for (StoreItem &item : page.items)
         m_format->removeSecrets(item);
-    const std::uint64_t base = range.follower.base();
-    const bool watched = range.follower.watchUnderWay();
-    for (const StoreItem &item : range.follower.onAnswer(page, m_state.clock.now()))
+    const std::uint64_t base = range.follower.updateBase();
+    const bool watched = range.follower.isWatchPending();
+    for (const StoreItem &item : range.follower.onResponse(page, m_state.clock.now()))
         apply(item, sourceStore);
     // Where all watch, each still tells what changed: the store may not answer the others.
     const bool tells = range.role == FollowRole::relay
         || (range.role == FollowRole::alone && !page.items.empty());
     if (tells) {
-        for (RangeNews &news : newsOf(range.prefix, base, watched, range.follower, page))
+        for (RangeUpdate &news :
+             updatesFromResponse(range.prefix, base, watched, range.follower, page))
             m_control.tellRegion(std::move(news));
     }
     noteReach(range);
@@ -231,7 +234,7 @@
 
 void RangeSource::noteReach(Range &range)
 {
-    const bool reachable = range.follower.reachable();
+    const bool reachable = range.follower.isStoreReachable();
     if (reachable == range.wasReachable)
         return;
     range.wasReachable = reachable;
--- a/src/entry/range-source.h
+++ b/src/entry/range-source.h
@@ -65,10 +65,10 @@
                 std::unique_ptr<RecordFormat> format);
 
     void tick() override;
-    void onNews(const RangeNews &news, const std::string &from) override;
-    std::vector<RangeMark> marks() const override;
-    void onMarks(const std::vector<RangeMark> &marks, const std::string &from) override;
-    std::vector<RangeReply> newsSince(const std::vector<RangeQuestion> &questions) const override;
+    void onNews(const RangeUpdate &news, const std::string &from) override;
+    std::vector<RangePosition> marks() const override;
+    void onMarks(const std::vector<RangePosition> &marks, const std::string &from) override;
+    std::vector<RangeReply> newsSince(const std::vector<RangeRequest> &questions) const override;
 
 private:
     struct Range
@@ -86,10 +86,10 @@
 
     void advance(Range &range);
     void onPage(Range &range, StorePage page);
-    void onMark(Range &range, const RangeMark &mark, const std::string &from);
+    void onMark(Range &range, const RangePosition &mark, const std::string &from);
     void askPeer(Range &range, const std::string &from);
     // True if it changed anything.
-    bool takeNews(Range &range, const RangeNews &news, TimePoint at);
+    bool takeNews(Range &range, const RangeUpdate &news, TimePoint at);
     void takeReply(Range &range, const RangeReply &reply);
     void noteReach(Range &range);
     void noteListState();
--- a/test/prefix-follower-test.cc
+++ b/test/prefix-follower-test.cc
@@ -17,8 +17,8 @@
 
     std::vector<StoreItem> answer(StorePage page)
     {
-        REQUIRE(follower.next(now));
-        const auto changes = follower.onAnswer(page, now);
+        REQUIRE(follower.nextCall(now));
+        const auto changes = follower.onResponse(page, now);
         now += 2s;
         return changes;
     }
@@ -117,16 +117,16 @@
 
 TEST_CASE_METHOD(FollowerFixture, "prefixFollower_ofTwoPages_watchesFromTheFirstPagesRevision")
 {
-    CHECK(follower.next(now) == FollowCall(ListCall{""}));
-    CHECK_FALSE(follower.next(now));
-    CHECK(follower.onAnswer(page({{"a", "1", 3, false}}, 7, true), now).size() == 1);
-    CHECK_FALSE(follower.complete());
-    CHECK(follower.next(now) == FollowCall(ListCall{"a"}));
-    CHECK(follower.onAnswer(page({{"b", "2", 9, false}}, 11), now).size() == 1);
-    CHECK(follower.complete());
+    CHECK(follower.nextCall(now) == FollowCall(ListCall{""}));
+    CHECK_FALSE(follower.nextCall(now));
+    CHECK(follower.onResponse(page({{"a", "1", 3, false}}, 7, true), now).size() == 1);
+    CHECK_FALSE(follower.isComplete());
+    CHECK(follower.nextCall(now) == FollowCall(ListCall{"a"}));
+    CHECK(follower.onResponse(page({{"b", "2", 9, false}}, 11), now).size() == 1);
+    CHECK(follower.isComplete());
     // What it has just read holds as long as news does.
-    CHECK_FALSE(follower.next(now + 1900ms));
-    const auto call = follower.next(now + 2s);
+    CHECK_FALSE(follower.nextCall(now + 1900ms));
+    const auto call = follower.nextCall(now + 2s);
     REQUIRE(call);
     CHECK(std::get<WatchCall>(*call).afterRevision == 7);
 }
@@ -153,16 +153,16 @@
 
 TEST_CASE_METHOD(FollowerFixture, "prefixFollower_storeAway_asksAgainAfterAPauseThatGrows")
 {
-    REQUIRE(follower.next(now));
-    follower.onAnswer(failed(StoreEnd::unknown), now);
-    CHECK_FALSE(follower.reachable());
-    CHECK_FALSE(follower.next(now + 200ms));
-    REQUIRE(follower.next(now + 260ms));
-    follower.onAnswer(failed(StoreEnd::notApplied), now + 260ms);
-    CHECK_FALSE(follower.next(now + 600ms));
-    REQUIRE(follower.next(now + 800ms));
-    follower.onAnswer(page({}, 1), now + 800ms);
-    CHECK(follower.reachable());
+    REQUIRE(follower.nextCall(now));
+    follower.onResponse(failed(StoreEnd::unknown), now);
+    CHECK_FALSE(follower.isStoreReachable());
+    CHECK_FALSE(follower.nextCall(now + 200ms));
+    REQUIRE(follower.nextCall(now + 260ms));
+    follower.onResponse(failed(StoreEnd::notApplied), now + 260ms);
+    CHECK_FALSE(follower.nextCall(now + 600ms));
+    REQUIRE(follower.nextCall(now + 800ms));
+    follower.onResponse(page({}, 1), now + 800ms);
+    CHECK(follower.isStoreReachable());
 }
 
 // Guards against servers that turn cold unnoticed in a region cut off again soon after the store
@@ -171,13 +171,13 @@
 {
     follower.setRole(FollowRole::alone);
     answer(page({}, 7));
-    CHECK(follower.life(now) == 5s);
+    CHECK(follower.validity(now) == 5s);
     answer(failed(StoreEnd::unknown));
-    CHECK(follower.life(now) == 2s);
-    const auto call = follower.next(now);
+    CHECK(follower.validity(now) == 2s);
+    const auto call = follower.nextCall(now);
     REQUIRE(call);
-    CHECK(std::get<WatchCall>(*call).longest == 1s);
-    CHECK(follower.life(now + 20s) == 5s);
+    CHECK(std::get<WatchCall>(*call).maxWait == 1s);
+    CHECK(follower.validity(now + 20s) == 5s);
 }
 
 // What callers see: nothing; the store gets a call less. In what order: the range is read once,
@@ -186,11 +186,11 @@
 TEST_CASE_METHOD(FollowerFixture, "prefixFollower_hearsOfChanges_callsOnlyOnceItHearsNothing")
 {
     answer(page({{"a", "1", 3, false}}, 5));
-    CHECK(follower.onNews({"", 5, 8, {{"b", "2", 7, false}}}, now).size() == 1);
-    CHECK_FALSE(follower.next(now + 1900ms));
-    CHECK(follower.onNews({"", 8, 8, {}}, now + 1900ms).empty());
-    CHECK_FALSE(follower.next(now + 3800ms));
-    const auto call = follower.next(now + 3900ms);
+    CHECK(follower.onUpdate({"", 5, 8, {{"b", "2", 7, false}}}, now).size() == 1);
+    CHECK_FALSE(follower.nextCall(now + 1900ms));
+    CHECK(follower.onUpdate({"", 8, 8, {}}, now + 1900ms).empty());
+    CHECK_FALSE(follower.nextCall(now + 3800ms));
+    const auto call = follower.nextCall(now + 3900ms);
     REQUIRE(call);
     CHECK(std::get<WatchCall>(*call).afterRevision == 8);
 }
@@ -201,10 +201,10 @@
 TEST_CASE_METHOD(FollowerFixture, "prefixFollower_newsWithAGap_asksTheStoreAtOnce")
 {
     answer(page({{"a", "1", 3, false}}, 5));
-    follower.onNews({"", 5, 6, {}}, now);
-    CHECK_FALSE(follower.next(now));
-    CHECK(follower.onNews({"", 7, 9, {{"c", "2", 9, false}}}, now).empty());
-    const auto call = follower.next(now);
+    follower.onUpdate({"", 5, 6, {}}, now);
+    CHECK_FALSE(follower.nextCall(now));
+    CHECK(follower.onUpdate({"", 7, 9, {{"c", "2", 9, false}}}, now).empty());
+    const auto call = follower.nextCall(now);
     REQUIRE(call);
     CHECK(std::get<WatchCall>(*call).afterRevision == 6);
 }
@@ -214,9 +214,9 @@
 TEST_CASE_METHOD(FollowerFixture, "prefixFollower_lateAnswerAfterNews_bringsNoKeyBack")
 {
     answer(page({{"a", "1", 3, false}}, 5));
-    REQUIRE(follower.next(now));
-    CHECK(follower.onNews({"", 5, 9, {{"b", "", 9, true}, {"a", "", 8, true}}}, now).size() == 1);
-    CHECK(follower.onAnswer(page({{"b", "2", 7, false}}, 7), now).empty());
+    REQUIRE(follower.nextCall(now));
+    CHECK(follower.onUpdate({"", 5, 9, {{"b", "", 9, true}, {"a", "", 8, true}}}, now).size() == 1);
+    CHECK(follower.onResponse(page({{"b", "2", 7, false}}, 7), now).empty());
     CHECK(follower.asOf() == 9);
 }
 
@@ -226,24 +226,24 @@
 {
     const StorePage first = page({{"a", "1", 3, false}, {"b", "2", 4, false}}, 5);
     PrefixFollower told = follower;
-    told.next(now);
-    told.onAnswer(first, now);
-    told.onNews({"", 5, 8, {{"left", "3", 7, false}}}, now);
+    told.nextCall(now);
+    told.onResponse(first, now);
+    told.onUpdate({"", 5, 8, {{"left", "3", 7, false}}}, now);
     answer(first);
     answer(failed(StoreEnd::historyLost));
-    const std::uint64_t base = follower.base();
+    const std::uint64_t base = follower.updateBase();
     const StorePage again = page({{"a", "4", 10, false}}, 12);
     answer(again);
-    const auto news = newsOf("", base, false, follower, again);
+    const auto news = updatesFromResponse("", base, false, follower, again);
     REQUIRE(news.size() == 1);
-    CHECK(told.onNews(news[0], now).size() == 3);
+    CHECK(told.onUpdate(news[0], now).size() == 3);
     CHECK(told.asOf() == 12);
-    CHECK_FALSE(told.next(now));
-    const auto known = told.newsSince("", 0);
+    CHECK_FALSE(told.nextCall(now));
+    const auto known = told.updateSince("", 0);
     REQUIRE(known);
     CHECK(known->items == std::vector<StoreItem>{{"a", "4", 10, false}});
-    CHECK(newsOf("", base, true, follower, failed(StoreEnd::unknown)).empty());
-    CHECK(newsOf("", 0, false, follower, again).empty());
+    CHECK(updatesFromResponse("", base, true, follower, failed(StoreEnd::unknown)).empty());
+    CHECK(updatesFromResponse("", 0, false, follower, again).empty());
 }
 
 // Guards against servers that vanish: a page, sent on as if it were all changes, had others drop
@@ -254,16 +254,16 @@
     for (std::uint64_t i = 0; i < 50; ++i)
         items.push_back({std::to_string(100 + i), std::string(250, 'x'), 11 + i * 7 % 50, false});
     PrefixFollower told = follower;
-    told.onNews({"", 0, 60, items}, now);
-    REQUIRE(follower.next(now));
-    follower.onNews({"", 0, 60, items}, now);
-    const std::uint64_t base = follower.base();
-    const bool watched = follower.watchUnderWay();
+    told.onUpdate({"", 0, 60, items}, now);
+    REQUIRE(follower.nextCall(now));
+    follower.onUpdate({"", 0, 60, items}, now);
+    const std::uint64_t base = follower.updateBase();
+    const bool watched = follower.isWatchPending();
     const StorePage late = page(items, 62);
-    follower.onAnswer(late, now);
-    for (const RangeNews &news : newsOf("", base, watched, follower, late))
-        CHECK(told.onNews(news, now).empty());
-    const auto known = told.newsSince("", 0);
+    follower.onResponse(late, now);
+    for (const RangeUpdate &news : updatesFromResponse("", base, watched, follower, late))
+        CHECK(told.onUpdate(news, now).empty());
+    const auto known = told.updateSince("", 0);
     REQUIRE(known);
     CHECK(known->items.size() == items.size());
 }
@@ -275,27 +275,27 @@
     std::vector<StoreItem> changes;
     for (std::uint64_t i = 0; i < 50; ++i)
         changes.push_back({std::to_string(i), std::string(250, 'x'), 10 + i / 3, false});
-    const auto pieces = newsOfWatch("", 5, 60, changes);
+    const auto pieces = updatesFromWatch("", 5, 60, changes);
     CHECK(pieces.size() > 1);
     answer(page({}, 7));
     std::size_t seen = 0;
-    for (const RangeNews &piece : pieces)
-        seen += follower.onNews(piece, now).size();
+    for (const RangeUpdate &piece : pieces)
+        seen += follower.onUpdate(piece, now).size();
     CHECK(seen == changes.size());
     CHECK(follower.asOf() == 60);
-    CHECK_FALSE(follower.next(now));
+    CHECK_FALSE(follower.nextCall(now));
     for (std::uint64_t i = 0; i < 100; ++i)
         changes.push_back({"s", std::string(250, 'x'), 50 + i, false});
-    CHECK(newsOfWatch("", 5, 200, changes) == std::vector<RangeNews>{{"", 200, 200, {}}});
+    CHECK(updatesFromWatch("", 5, 200, changes) == std::vector<RangeUpdate>{{"", 200, 200, {}}});
 }
 
 // Guards against instances that ask the store though their neighbours know that nothing changed.
 TEST_CASE_METHOD(FollowerFixture, "prefixFollower_hearsMarksOnly_callsOnceTheirAgeIsOver")
 {
     answer(page({{"a", "1", 3, false}}, 5));
-    CHECK(follower.onMark(5, now + 1s));
-    CHECK_FALSE(follower.next(now + 2900ms));
-    CHECK(follower.next(now + 3s));
+    CHECK(follower.onPosition(5, now + 1s));
+    CHECK_FALSE(follower.nextCall(now + 2900ms));
+    CHECK(follower.nextCall(now + 3s));
 }
 
 // Guards against taking an instance that has just read the range for one that knows of no change:
@@ -304,16 +304,17 @@
 {
     answer(page({{"a", "1", 3, false}}, 5));
     CHECK(follower.lastChange() == 5);
-    CHECK(follower.base() == 5);
+    CHECK(follower.updateBase() == 5);
 }
 
 TEST_CASE_METHOD(FollowerFixture, "makeNews_changeTooLargeForADatagram_sendsOthersToTheStore")
 {
     answer(page({{"a", "1", 3, false}}, 5));
-    follower.onNews({"", 5, 6, {}}, now);
-    CHECK(follower.onNews(makeNews("", 6, 7, {{"a", std::string(9000, 'x'), 7, false}}), now)
-              .empty());
-    CHECK(follower.next(now));
+    follower.onUpdate({"", 5, 6, {}}, now);
+    CHECK(
+        follower.onUpdate(makeRangeUpdate("", 6, 7, {{"a", std::string(9000, 'x'), 7, false}}), now)
+            .empty());
+    CHECK(follower.nextCall(now));
 }
 
 // Random writes, removals, lost answers and forgotten history.
@@ -325,10 +326,10 @@
         TimePoint now{1s};
         const auto step = [&](bool calm) {
             now += 2s;
-            const auto call = one.follower.next(now);
+            const auto call = one.follower.nextCall(now);
             RC_ASSERT(call.has_value());
             const StorePage page = store.answer(*call);
-            one.note(one.follower.onAnswer(calm ? page : withFate(page), now));
+            one.note(one.follower.onResponse(calm ? page : withFate(page), now));
         };
         const int rounds = *rc::gen::inRange(5, 40);
         for (int i = 0; i < rounds; ++i) {
@@ -351,26 +352,26 @@
         Followed relay;
         Followed told;
         relay.follower.setRole(FollowRole::relay);
-        std::vector<RangeNews> onTheWay;
+        std::vector<RangeUpdate> onTheWay;
         std::optional<StorePage> late; // the answer to a call of the one that is told
         TimePoint now{1s};
         const auto relayStep = [&] {
-            const auto call = relay.follower.next(now);
+            const auto call = relay.follower.nextCall(now);
             if (!call)
                 return;
-            const std::uint64_t base = relay.follower.base();
-            const bool watched = relay.follower.watchUnderWay();
+            const std::uint64_t base = relay.follower.updateBase();
+            const bool watched = relay.follower.isWatchPending();
             const StorePage page = withFate(store.answer(*call));
-            relay.note(relay.follower.onAnswer(page, now));
-            for (RangeNews &news : newsOf("", base, watched, relay.follower, page))
+            relay.note(relay.follower.onResponse(page, now));
+            for (RangeUpdate &news : updatesFromResponse("", base, watched, relay.follower, page))
                 onTheWay.push_back(std::move(news));
         };
         const auto toldStep = [&] {
             if (!late) {
-                if (const auto call = told.follower.next(now))
+                if (const auto call = told.follower.nextCall(now))
                     late = withFate(store.answer(*call));
             } else if (*rc::gen::inRange(0, 2) == 0) {
-                told.note(told.follower.onAnswer(*late, now));
+                told.note(told.follower.onResponse(*late, now));
                 late.reset();
             }
         };
@@ -383,16 +384,16 @@
             if (onTheWay.empty() || *rc::gen::inRange(0, 4) == 0)
                 continue;
             const auto index = *rc::gen::inRange<std::size_t>(0, onTheWay.size());
-            told.note(told.follower.onNews(onTheWay[index], now));
+            told.note(told.follower.onUpdate(onTheWay[index], now));
             if (*rc::gen::inRange(0, 3) > 0)
                 onTheWay.erase(onTheWay.begin() + static_cast<std::ptrdiff_t>(index));
         }
         if (late)
-            told.note(told.follower.onAnswer(*late, now));
+            told.note(told.follower.onResponse(*late, now));
         for (int i = 0; i < 8; ++i) {
             now += 3s;
-            if (const auto call = told.follower.next(now))
-                told.note(told.follower.onAnswer(store.answer(*call), now));
+            if (const auto call = told.follower.nextCall(now))
+                told.note(told.follower.onResponse(store.answer(*call), now));
         }
         RC_ASSERT(told.seen == store.values());
     });
@@ -400,21 +401,21 @@
 
 TEST_CASE_METHOD(FollowerFixture, "prefixFollower_markOfALaterChange_showsThatItWasMissed")
 {
-    CHECK_FALSE(follower.onMark(3, now));
-    CHECK(follower.onMark(0, now));
+    CHECK_FALSE(follower.onPosition(3, now));
+    CHECK(follower.onPosition(0, now));
     answer(page({{"a", "1", 3, false}}, 5));
-    CHECK(follower.onMark(5, now));
-    CHECK(follower.heardAt() == now);
-    CHECK_FALSE(follower.onMark(6, now + 1s));
-    CHECK(follower.heardAt() == now);
+    CHECK(follower.onPosition(5, now));
+    CHECK(follower.lastConfirmedAt() == now);
+    CHECK_FALSE(follower.onPosition(6, now + 1s));
+    CHECK(follower.lastConfirmedAt() == now);
 }
 
 TEST_CASE_METHOD(FollowerFixture, "prefixFollower_wholeRangeToldWhileAPageIsUnderWay_dropsThePage")
 {
-    REQUIRE(follower.next(now));
-    CHECK(follower.onNews({"", 0, 7, {{"a", "1", 3, false}}}, now).size() == 1);
-    CHECK(follower.onAnswer(page({{"b", "2", 8, false}}, 9), now).empty());
-    CHECK(follower.next(now + 3s) == FollowCall(WatchCall{7, 4s}));
+    REQUIRE(follower.nextCall(now));
+    CHECK(follower.onUpdate({"", 0, 7, {{"a", "1", 3, false}}}, now).size() == 1);
+    CHECK(follower.onResponse(page({{"b", "2", 8, false}}, 9), now).empty());
+    CHECK(follower.nextCall(now + 3s) == FollowCall(WatchCall{7, 4s}));
 }
 
 // Guards against keys that an instance misses, or keeps, once it lives on what its peers know.
@@ -423,21 +424,21 @@
     rc::prop("the keys of both are the store's", [] {
         StoreModel store;
         PrefixFollower::Limits limits;
-        limits.mostRemoved = 2;
+        limits.maxRemovals = 2;
         std::array<Followed, 2> both{Followed{PrefixFollower(limits), {}},
                                      Followed{PrefixFollower(limits), {}}};
-        std::vector<RangeNews> onTheWay;
+        std::vector<RangeUpdate> onTheWay;
         TimePoint now{1s};
         const auto callStore = [&](Followed &one, bool calm) {
-            const auto call = one.follower.next(now);
+            const auto call = one.follower.nextCall(now);
             if (!call)
                 return;
             const StorePage page = store.answer(*call);
-            one.note(one.follower.onAnswer(calm ? page : withFate(page), now));
+            one.note(one.follower.onResponse(calm ? page : withFate(page), now));
         };
         const auto ask = [&](Followed &one, const Followed &other) {
-            const std::uint64_t known = one.follower.watching() ? one.follower.asOf() : 0;
-            return other.follower.newsSince("", known);
+            const std::uint64_t known = one.follower.isWatching() ? one.follower.asOf() : 0;
+            return other.follower.updateSince("", known);
         };
         const int rounds = *rc::gen::inRange(5, 60);
         for (int i = 0; i < rounds; ++i) {
@@ -452,7 +453,7 @@
                 continue;
             // Late, doubled, and to whichever of the two.
             const auto which = *rc::gen::inRange<std::size_t>(0, onTheWay.size());
-            both[index].note(both[index].follower.onNews(onTheWay[which], now));
+            both[index].note(both[index].follower.onUpdate(onTheWay[which], now));
         }
         for (int i = 0; i < 8; ++i) {
             now += 2s;
@@ -461,8 +462,8 @@
         RC_ASSERT(both[0].seen == store.values());
         const auto news = ask(both[1], both[0]);
         RC_ASSERT(news.has_value());
-        both[1].note(both[1].follower.onNews(*news, now));
+        both[1].note(both[1].follower.onUpdate(*news, now));
         RC_ASSERT(both[1].seen == store.values());
-        RC_ASSERT(both[1].follower.onMark(both[0].follower.lastChange(), now));
+        RC_ASSERT(both[1].follower.onPosition(both[0].follower.lastChange(), now));
     });
 }
