--- a/include/ibisnotch/config-gate.h
+++ b/include/ibisnotch/active-config.h
@@ -20,13 +20,13 @@
 struct FileDelta
 {
     std::string name;
-    std::uint64_t keptHead = 0; // bytes of the old text
-    std::uint64_t keptTail = 0;
-    std::string middle;
+    std::uint64_t commonPrefixBytes = 0; // bytes of the old text
+    std::uint64_t commonSuffixBytes = 0;
+    std::string replacement;
 
     template <typename Archive> void serialize(Archive &archive)
     {
-        archive(name, keptHead, keptTail, middle);
+        archive(name, commonPrefixBytes, commonSuffixBytes, replacement);
     }
     bool operator==(const FileDelta &) const = default;
 };
@@ -76,21 +76,21 @@
                                       const std::string &site) const override;
 };
 
-enum class OfferAnswer { accepted, notNewer, invalid };
+enum class ConfigApplyResult { accepted, notNewer, invalid };
 
 // Holds the document in force. Versions only ever rise: a document that took long on its way, was
-// kept by a restarted peer, or was read from a lagging replica of the store is turned down. Thread
-// safe.
-class ConfigGate
+// kept by a restarted peer, or was read from a lagging replica of the store is turned down.
+// Thread safe.
+class ActiveConfig
 {
 public:
-    explicit ConfigGate(std::string site,
-                        std::unique_ptr<ConfigFormat> format = std::make_unique<OverlayFormat>())
+    explicit ActiveConfig(std::string site,
+                          std::unique_ptr<ConfigFormat> format = std::make_unique<OverlayFormat>())
         : m_site(std::move(site)), m_format(std::move(format))
     {
     }
 
-    OfferAnswer offer(const ConfigDocument &document);
+    ConfigApplyResult apply(const ConfigDocument &document);
 
     std::uint64_t version() const;
     std::shared_ptr<const ConfigDocument> document() const;
@@ -101,7 +101,7 @@
     std::string lastError() const;
 
 private:
-    static constexpr std::size_t kept = 16;
+    static constexpr std::size_t maxHistory = 16;
 
     std::string m_site;
     std::unique_ptr<ConfigFormat> m_format;
--- a/include/ibisnotch/peer-link.h
+++ b/include/ibisnotch/peer-link.h
@@ -9,7 +9,7 @@
 #include <string>
 #include <vector>
 
-#include "ibisnotch/config-gate.h"
+#include "ibisnotch/active-config.h"
 #include "ibisnotch/membership.h"
 #include "ibisnotch/process-settings.h"
 #include "ibisnotch/quarantine.h"
--- a/src/decide/config-gate.cc
+++ b/src/decide/active-config.cc
@@ -1,4 +1,4 @@
-#include "ibisnotch/config-gate.h"
+#include "ibisnotch/active-config.h"
 
 #include <algorithm>
 #include <optional>
@@ -16,28 +16,28 @@
 
 FileDelta makeFileDelta(const ConfigFile &from, const ConfigFile &to)
 {
-    const std::string_view before = from.text;
-    const std::string_view after = to.text;
-    const std::size_t shorter = std::min(before.size(), after.size());
+    const std::string_view oldText = from.text;
+    const std::string_view newText = to.text;
+    const std::size_t shorter = std::min(oldText.size(), newText.size());
     std::size_t head = 0;
-    while (head < shorter && before[head] == after[head])
+    while (head < shorter && oldText[head] == newText[head])
         ++head;
     std::size_t tail = 0;
     while (tail < shorter - head
-           && before[before.size() - 1 - tail] == after[after.size() - 1 - tail])
+           && oldText[oldText.size() - 1 - tail] == newText[newText.size() - 1 - tail])
         ++tail;
-    return {to.name, head, tail, std::string(after.substr(head, after.size() - head - tail))};
+    return {to.name, head, tail, std::string(newText.substr(head, newText.size() - head - tail))};
 }
 
-// Empty if the old text is shorter than what was kept of it.
+// Empty if the old text is shorter than the parts that the delta keeps.
 std::optional<ConfigFile> applyFileDelta(const ConfigFile &from, const FileDelta &delta)
 {
     const std::uint64_t size = from.text.size();
-    if (delta.keptHead > size || delta.keptTail > size - delta.keptHead)
+    if (delta.commonPrefixBytes > size || delta.commonSuffixBytes > size - delta.commonPrefixBytes)
         return std::nullopt;
     return ConfigFile{delta.name,
-                      from.text.substr(0, delta.keptHead) + delta.middle
-                          + from.text.substr(size - delta.keptTail)};
+                      from.text.substr(0, delta.commonPrefixBytes) + delta.replacement
+                          + from.text.substr(size - delta.commonSuffixBytes)};
 }
 
 } // namespace
@@ -55,10 +55,10 @@
     if (delta.baseChanged)
         delta.base = makeFileDelta(old.base, to.base);
     for (const auto &[site, file] : to.overlays) {
-        const auto before = old.overlays.find(site);
-        if (before == old.overlays.end() || before->second != file)
-            delta.changedOverlays[site]
-                = makeFileDelta(before == old.overlays.end() ? ConfigFile{} : before->second, file);
+        const auto oldFile = old.overlays.find(site);
+        if (oldFile == old.overlays.end() || oldFile->second != file)
+            delta.changedOverlays[site] = makeFileDelta(
+                oldFile == old.overlays.end() ? ConfigFile{} : oldFile->second, file);
     }
     if (from != nullptr) {
         for (const auto &[site, file] : from->overlays) {
@@ -106,50 +106,50 @@
     return parseFleetConfig(document, site);
 }
 
-OfferAnswer ConfigGate::offer(const ConfigDocument &document)
+ConfigApplyResult ActiveConfig::apply(const ConfigDocument &document)
 {
     {
         const std::lock_guard lock(m_mutex);
         if (m_document && document.version <= m_document->version)
-            return OfferAnswer::notNewer;
+            return ConfigApplyResult::notNewer;
     }
     auto config = m_format->parse(document, m_site);
     const std::lock_guard lock(m_mutex);
     if (!config.ok()) {
         m_lastError = std::string(config.status().message());
-        return OfferAnswer::invalid;
+        return ConfigApplyResult::invalid;
     }
     // Checked again: another thread may have moved on while this one parsed.
     if (m_document && document.version <= m_document->version)
-        return OfferAnswer::notNewer;
+        return ConfigApplyResult::notNewer;
     fillServiceDefaults(*config);
     m_document = std::make_shared<const ConfigDocument>(document);
     m_config = std::make_shared<const FleetConfig>(*std::move(config));
     m_history.push_back(m_document);
-    if (m_history.size() > kept)
+    if (m_history.size() > maxHistory)
         m_history.pop_front();
-    return OfferAnswer::accepted;
+    return ConfigApplyResult::accepted;
 }
 
-std::uint64_t ConfigGate::version() const
+std::uint64_t ActiveConfig::version() const
 {
     const std::lock_guard lock(m_mutex);
     return m_document ? m_document->version : 0;
 }
 
-std::shared_ptr<const ConfigDocument> ConfigGate::document() const
+std::shared_ptr<const ConfigDocument> ActiveConfig::document() const
 {
     const std::lock_guard lock(m_mutex);
     return m_document;
 }
 
-std::shared_ptr<const FleetConfig> ConfigGate::config() const
+std::shared_ptr<const FleetConfig> ActiveConfig::config() const
 {
     const std::lock_guard lock(m_mutex);
     return m_config;
 }
 
-ConfigDelta ConfigGate::deltaSince(std::uint64_t version) const
+ConfigDelta ActiveConfig::deltaSince(std::uint64_t version) const
 {
     const std::lock_guard lock(m_mutex);
     if (!m_document)
@@ -160,7 +160,7 @@
     return makeDelta(found == m_history.end() ? nullptr : found->get(), *m_document);
 }
 
-std::string ConfigGate::lastError() const
+std::string ActiveConfig::lastError() const
 {
     const std::lock_guard lock(m_mutex);
     return m_lastError;
--- a/src/entry/control.cc
+++ b/src/entry/control.cc
@@ -408,14 +408,14 @@
 
 void Control::offer(const ConfigDocument &document, const std::string &source)
 {
-    const OfferAnswer answer = m_state.gate.offer(document);
-    if (answer == OfferAnswer::invalid) {
+    const ConfigApplyResult result = m_state.gate.apply(document);
+    if (result == ConfigApplyResult::invalid) {
         m_turnedDown = std::max(m_turnedDown, document.version);
         logLine(
             LogPart::config, LogLevel::error, "Version turned down.",
             {{"version", std::to_string(document.version)}, {"reason", m_state.gate.lastError()}});
     }
-    if (answer != OfferAnswer::accepted)
+    if (result != ConfigApplyResult::accepted)
         return;
     logLine(LogPart::config, LogLevel::info, "Version in force.",
             {{"version", std::to_string(document.version)}, {"source", source}});
--- a/src/entry/state.h
+++ b/src/entry/state.h
@@ -7,11 +7,11 @@
 #include <string>
 #include <vector>
 
+#include "ibisnotch/active-config.h"
 #include "ibisnotch/admission.h"
 #include "ibisnotch/booking.h"
 #include "ibisnotch/burn.h"
 #include "ibisnotch/clock.h"
-#include "ibisnotch/config-gate.h"
 #include "ibisnotch/forward-path.h"
 #include "ibisnotch/membership.h"
 #include "ibisnotch/metrics.h"
@@ -43,7 +43,7 @@
     const TimePoint startedAt = clock.now();
     Random random;
 
-    ConfigGate gate;
+    ActiveConfig gate;
     ServerTable servers;
     RegionTable regions;
     RcuValue<RoutingTable> routing;
--- a/src/ibisnotch-slopes.cc
+++ b/src/ibisnotch-slopes.cc
@@ -14,8 +14,8 @@
 
 #include <fmt/format.h>
 
+#include "ibisnotch/active-config.h"
 #include "ibisnotch/booking.h"
-#include "ibisnotch/config-gate.h"
 #include "ibisnotch/membership.h"
 #include "ibisnotch/peer-link.h"
 #include "ibisnotch/pick.h"
@@ -200,14 +200,14 @@
         changed.version = 2;
         changed.overlays["r0"].text += "# changed\n";
         const std::size_t before = heapBytes();
-        ConfigGate gate("r0");
-        gate.offer(document);
+        ActiveConfig gate("r0");
+        gate.apply(document);
         const std::size_t heap = heapBytes() - before;
         std::uint64_t version = 1;
         const double take = costOf([&] {
             ConfigDocument next = changed;
             next.version = ++version;
-            gate.offer(next);
+            gate.apply(next);
         });
         const double check = costOf([&] { (void)validateDocument(document, nullptr).ok(); });
         const ConfigDelta delta = makeDelta(&document, changed);
--- a/test/config-gate-test.cc
+++ b/test/active-config-test.cc
@@ -1,4 +1,4 @@
-#include "ibisnotch/config-gate.h"
+#include "ibisnotch/active-config.h"
 
 #include <catch2/catch.hpp>
 #include <rapidcheck/catch.h>
@@ -13,28 +13,28 @@
 TEST_CASE_METHOD(ConfigFixture, "configGate_offersInAnyOrder_neverReverts")
 {
     rc::prop("versions only rise", [this] {
-        ConfigGate gate("a");
+        ActiveConfig active("a");
         std::uint64_t highest = 0;
         for (int i = 0; i < 20; ++i) {
             const auto number = *rc::gen::inRange<std::uint64_t>(1, 10);
-            const OfferAnswer answer = gate.offer(withVersion(number));
-            RC_ASSERT((answer == OfferAnswer::accepted) == (number > highest));
+            const ConfigApplyResult result = active.apply(withVersion(number));
+            RC_ASSERT((result == ConfigApplyResult::accepted) == (number > highest));
             highest = std::max(highest, number);
-            RC_ASSERT(gate.version() == highest);
-            RC_ASSERT(gate.config()->version == highest);
+            RC_ASSERT(active.version() == highest);
+            RC_ASSERT(active.config()->version == highest);
         }
     });
 }
 
 TEST_CASE_METHOD(ConfigFixture, "configGate_invalidDocument_keepsWhatIsInForce")
 {
-    ConfigGate gate("a");
-    gate.offer(withVersion(3));
+    ActiveConfig active("a");
+    active.apply(withVersion(3));
     ConfigDocument broken = withVersion(4);
     broken.base.text += "nonsense: 1\n";
-    CHECK(gate.offer(broken) == OfferAnswer::invalid);
-    CHECK(gate.version() == 3);
-    CHECK(gate.lastError().find("nonsense") != std::string::npos);
+    CHECK(active.apply(broken) == ConfigApplyResult::invalid);
+    CHECK(active.version() == 3);
+    CHECK(active.lastError().find("nonsense") != std::string::npos);
 }
 
 // What operators see: every instance ends with the same document. In what order: an instance has
@@ -79,5 +79,5 @@
     CHECK_FALSE(delta.baseChanged);
     CHECK(delta.base == FileDelta{});
     REQUIRE(delta.changedOverlays.size() == 1);
-    CHECK(delta.changedOverlays.at("b").middle == "3");
+    CHECK(delta.changedOverlays.at("b").replacement == "3");
 }
