--- a/include/ibisnotch/quarantine.h
+++ b/include/ibisnotch/quarantine.h
@@ -33,7 +33,7 @@
     bool operator==(const CrashMark &) const = default;
 };
 
-enum class QuarantineAnswer {
+enum class QuarantineDecision {
     clear,
     trial, // one attempt, by this instance alone
     held, // another instance holds the trial, or it is under way
@@ -48,30 +48,30 @@
 public:
     struct Limits
     {
-        std::size_t mostServersLost = 2;
-        Duration holdFor = std::chrono::seconds(20);
-        Duration quarantineFor = std::chrono::minutes(10);
+        std::size_t maxServersCrashed = 2;
+        Duration holdTime = std::chrono::seconds(20);
+        Duration quarantineTime = std::chrono::minutes(10);
     };
 
     Quarantine(std::string self, Limits limits);
 
-    QuarantineAnswer ask(const std::string &fingerprint, TimePoint now);
+    QuarantineDecision check(const std::string &fingerprint, TimePoint now);
 
-    // Notes an attempt that this instance starts; the next ask() for the same suspect is held.
-    void onTrial(const std::string &fingerprint);
-    void onTrialOver(const std::string &fingerprint);
+    // Notes an attempt that this instance starts; the next check() for the same suspect is held.
+    void onTrialStarted(const std::string &fingerprint);
+    void onTrialFinished(const std::string &fingerprint);
 
     // A server was lost while it ran the request. Returns the mark to share.
-    CrashMark onServerLost(const std::string &fingerprint, const std::string &server,
-                           TimePoint now);
+    CrashMark onServerCrashed(const std::string &fingerprint, const std::string &server,
+                              TimePoint now);
     // The request was answered after all. Returns the mark to share, if it was suspect.
     std::vector<CrashMark> onAnswered(const std::string &fingerprint);
 
-    // A mark from another instance. Returns true if it was news, to be passed on.
+    // A mark from another instance. Returns true if it was isNew, to be passed on.
     bool onMark(const CrashMark &mark, TimePoint now);
 
     // Marks young enough to be repeated in gossip.
-    std::vector<CrashMark> recentMarks(TimePoint now, std::size_t most) const;
+    std::vector<CrashMark> recentMarks(TimePoint now, std::size_t maxCount) const;
 
     std::size_t size() const { return m_suspects.size(); }
 
@@ -80,12 +80,12 @@
     {
         std::set<std::string> servers;
         std::string observer;
-        TimePoint last;
-        bool trialUnderWay = false;
+        TimePoint lastCrashAt;
+        bool isTrialRunning = false;
         bool cleared = false;
     };
 
-    void forgetOld(TimePoint now);
+    void removeExpired(TimePoint now);
 
     std::string m_self;
     Limits m_limits;
--- a/src/decide/quarantine.cc
+++ b/src/decide/quarantine.cc
@@ -16,48 +16,48 @@
 {
 }
 
-void Quarantine::forgetOld(TimePoint now)
+void Quarantine::removeExpired(TimePoint now)
 {
     std::erase_if(m_suspects, [&](const auto &entry) {
-        return entry.second.last + m_limits.quarantineFor <= now;
+        return entry.second.lastCrashAt + m_limits.quarantineTime <= now;
     });
 }
 
-QuarantineAnswer Quarantine::ask(const std::string &fingerprint, TimePoint now)
+QuarantineDecision Quarantine::check(const std::string &fingerprint, TimePoint now)
 {
-    forgetOld(now);
+    removeExpired(now);
     const auto found = m_suspects.find(fingerprint);
     if (found == m_suspects.end() || found->second.cleared)
-        return QuarantineAnswer::clear;
+        return QuarantineDecision::clear;
     const Suspect &suspect = found->second;
-    if (suspect.servers.size() >= m_limits.mostServersLost)
-        return QuarantineAnswer::quarantined;
-    if (suspect.trialUnderWay)
-        return QuarantineAnswer::held;
+    if (suspect.servers.size() >= m_limits.maxServersCrashed)
+        return QuarantineDecision::quarantined;
+    if (suspect.isTrialRunning)
+        return QuarantineDecision::held;
     if (suspect.observer == m_self)
-        return QuarantineAnswer::trial;
+        return QuarantineDecision::trial;
     // The observer has had its time and may be gone. Its single trial passes to whoever is asked,
     // and the first loss would complete the two.
-    const bool holdOver = suspect.last + m_limits.holdFor <= now;
-    return holdOver ? QuarantineAnswer::trial : QuarantineAnswer::held;
+    const bool holdExpired = suspect.lastCrashAt + m_limits.holdTime <= now;
+    return holdExpired ? QuarantineDecision::trial : QuarantineDecision::held;
 }
 
-void Quarantine::onTrial(const std::string &fingerprint)
+void Quarantine::onTrialStarted(const std::string &fingerprint)
 {
     const auto found = m_suspects.find(fingerprint);
     if (found != m_suspects.end())
-        found->second.trialUnderWay = true;
+        found->second.isTrialRunning = true;
 }
 
-void Quarantine::onTrialOver(const std::string &fingerprint)
+void Quarantine::onTrialFinished(const std::string &fingerprint)
 {
     const auto found = m_suspects.find(fingerprint);
     if (found != m_suspects.end())
-        found->second.trialUnderWay = false;
+        found->second.isTrialRunning = false;
 }
 
-CrashMark Quarantine::onServerLost(const std::string &fingerprint, const std::string &server,
-                                   TimePoint now)
+CrashMark Quarantine::onServerCrashed(const std::string &fingerprint, const std::string &server,
+                                      TimePoint now)
 {
     Suspect &suspect = m_suspects[fingerprint];
     if (suspect.cleared)
@@ -65,7 +65,7 @@
     if (suspect.servers.empty())
         suspect.observer = m_self;
     suspect.servers.insert(server);
-    suspect.last = now;
+    suspect.lastCrashAt = now;
     return {fingerprint, server, suspect.observer, 0, false};
 }
 
@@ -83,16 +83,16 @@
 
 bool Quarantine::onMark(const CrashMark &mark, TimePoint now)
 {
-    const TimePoint happened = now - std::chrono::milliseconds(mark.ageMs);
-    if (happened + m_limits.quarantineFor <= now)
+    const TimePoint crashedAt = now - std::chrono::milliseconds(mark.ageMs);
+    if (crashedAt + m_limits.quarantineTime <= now)
         return false;
     if (mark.cleared) {
         const auto found = m_suspects.find(mark.fingerprint);
-        const bool news = found != m_suspects.end() && !found->second.cleared
-            && found->second.servers.size() < m_limits.mostServersLost;
-        if (news)
+        const bool isNew = found != m_suspects.end() && !found->second.cleared
+            && found->second.servers.size() < m_limits.maxServersCrashed;
+        if (isNew)
             found->second.cleared = true;
-        return news;
+        return isNew;
     }
     Suspect &suspect = m_suspects[mark.fingerprint];
     if (suspect.cleared || !suspect.servers.insert(mark.server).second)
@@ -100,20 +100,21 @@
     // Two instances may each see a first loss. The smaller name keeps the trial, everywhere alike.
     if (suspect.observer.empty() || mark.observer < suspect.observer)
         suspect.observer = mark.observer;
-    suspect.last = std::max(suspect.last, happened);
+    suspect.lastCrashAt = std::max(suspect.lastCrashAt, crashedAt);
     return true;
 }
 
-std::vector<CrashMark> Quarantine::recentMarks(TimePoint now, std::size_t most) const
+std::vector<CrashMark> Quarantine::recentMarks(TimePoint now, std::size_t maxCount) const
 {
-    constexpr Duration recent = std::chrono::seconds(30);
+    constexpr Duration maxAge = std::chrono::seconds(30);
     std::vector<CrashMark> marks;
     for (const auto &[fingerprint, suspect] : m_suspects) {
-        if (suspect.last + recent <= now)
+        if (suspect.lastCrashAt + maxAge <= now)
             continue;
-        const auto age = std::chrono::duration_cast<std::chrono::milliseconds>(now - suspect.last);
+        const auto age
+            = std::chrono::duration_cast<std::chrono::milliseconds>(now - suspect.lastCrashAt);
         for (const std::string &server : suspect.servers) {
-            if (marks.size() < most)
+            if (marks.size() < maxCount)
                 marks.push_back({fingerprint, server, suspect.observer,
                                  static_cast<std::uint32_t>(age.count()), suspect.cleared});
         }
--- a/src/entry/dispatch.cc
+++ b/src/entry/dispatch.cc
@@ -153,11 +153,11 @@
 bool Dispatch::passQuarantine()
 {
     const std::lock_guard lock(m_state.quarantineMutex);
-    const auto answer = m_state.quarantine.ask(m_exchange->fingerprint, m_state.clock.now());
-    m_trial = answer == QuarantineAnswer::trial;
+    const auto decision = m_state.quarantine.check(m_exchange->fingerprint, m_state.clock.now());
+    m_trial = decision == QuarantineDecision::trial;
     if (m_trial)
-        m_state.quarantine.onTrial(m_exchange->fingerprint);
-    return answer != QuarantineAnswer::held && answer != QuarantineAnswer::quarantined;
+        m_state.quarantine.onTrialStarted(m_exchange->fingerprint);
+    return decision != QuarantineDecision::held && decision != QuarantineDecision::quarantined;
 }
 
 TransferLimits Dispatch::limitsFor(const Target &target) const
@@ -384,7 +384,7 @@
     m_mayHaveRun = m_mayHaveRun || (!certainlyNotRun(end) && end != AttemptEnd::answered);
     if (m_trial) {
         const std::lock_guard lock(m_state.quarantineMutex);
-        m_state.quarantine.onTrialOver(m_exchange->fingerprint);
+        m_state.quarantine.onTrialFinished(m_exchange->fingerprint);
     }
     if (!target.isPeer && end == AttemptEnd::brokenOff && !m_exchange->responder->closed())
         onServerLost(target);
@@ -423,8 +423,8 @@
     CrashMark mark;
     {
         const std::lock_guard lock(m_state.quarantineMutex);
-        mark = m_state.quarantine.onServerLost(m_exchange->fingerprint, target.name,
-                                               m_state.clock.now());
+        mark = m_state.quarantine.onServerCrashed(m_exchange->fingerprint, target.name,
+                                                  m_state.clock.now());
     }
     trace("crash mark for " + target.name);
     m_control.shareMarks({mark});
--- a/src/entry/filters.cc
+++ b/src/entry/filters.cc
@@ -225,14 +225,14 @@
         if (exchange.isBooking())
             return std::nullopt;
         const std::lock_guard lock(m_state.quarantineMutex);
-        const auto answer = m_state.quarantine.ask(exchange.fingerprint, m_state.clock.now());
-        switch (answer) {
-        case QuarantineAnswer::clear:
-        case QuarantineAnswer::trial:
+        const auto decision = m_state.quarantine.check(exchange.fingerprint, m_state.clock.now());
+        switch (decision) {
+        case QuarantineDecision::clear:
+        case QuarantineDecision::trial:
             return std::nullopt;
-        case QuarantineAnswer::held:
+        case QuarantineDecision::held:
             return Refusal{ResultCode::heldForTrial, "", spreadRetryAfter(2, m_state.random)};
-        case QuarantineAnswer::quarantined:
+        case QuarantineDecision::quarantined:
             return Refusal{ResultCode::quarantined, "", {}};
         }
         return std::nullopt;
--- a/test/quarantine-test.cc
+++ b/test/quarantine-test.cc
@@ -26,14 +26,14 @@
     {
         Quarantine &own = m_instances[instance];
         for (int attempt = 0; attempt < 3; ++attempt) {
-            const auto answer = own.ask("f", m_now);
-            if (answer == QuarantineAnswer::held || answer == QuarantineAnswer::quarantined)
+            const auto answer = own.check("f", m_now);
+            if (answer == QuarantineDecision::held || answer == QuarantineDecision::quarantined)
                 return;
-            if (answer == QuarantineAnswer::trial)
-                own.onTrial("f");
+            if (answer == QuarantineDecision::trial)
+                own.onTrialStarted("f");
             ++m_lost;
-            const CrashMark mark = own.onServerLost("f", "s" + std::to_string(m_lost), m_now);
-            own.onTrialOver("f");
+            const CrashMark mark = own.onServerCrashed("f", "s" + std::to_string(m_lost), m_now);
+            own.onTrialFinished("f");
             for (std::size_t other = 0; other < m_instances.size(); ++other) {
                 if (other != instance)
                     m_wire.push_back({other, mark});
@@ -83,10 +83,10 @@
 TEST_CASE("quarantine_afterItsTime_ends")
 {
     Quarantine quarantine("a", {});
-    quarantine.onServerLost("f", "s1", TimePoint());
-    quarantine.onServerLost("f", "s2", TimePoint());
-    CHECK(quarantine.ask("f", TimePoint(1min)) == QuarantineAnswer::quarantined);
-    CHECK(quarantine.ask("f", TimePoint(10min)) == QuarantineAnswer::clear);
+    quarantine.onServerCrashed("f", "s1", TimePoint());
+    quarantine.onServerCrashed("f", "s2", TimePoint());
+    CHECK(quarantine.check("f", TimePoint(1min)) == QuarantineDecision::quarantined);
+    CHECK(quarantine.check("f", TimePoint(10min)) == QuarantineDecision::clear);
     CHECK(quarantine.size() == 0);
 }
 
@@ -94,12 +94,12 @@
 {
     Quarantine a("a", {});
     Quarantine b("b", {});
-    b.onMark(a.onServerLost("f", "s1", TimePoint()), TimePoint());
-    CHECK(b.ask("f", TimePoint()) == QuarantineAnswer::held);
-    CHECK(a.ask("f", TimePoint()) == QuarantineAnswer::trial);
+    b.onMark(a.onServerCrashed("f", "s1", TimePoint()), TimePoint());
+    CHECK(b.check("f", TimePoint()) == QuarantineDecision::held);
+    CHECK(a.check("f", TimePoint()) == QuarantineDecision::trial);
     for (const CrashMark &mark : a.onAnswered("f"))
         b.onMark(mark, TimePoint());
-    CHECK(b.ask("f", TimePoint()) == QuarantineAnswer::clear);
+    CHECK(b.check("f", TimePoint()) == QuarantineDecision::clear);
 }
 
 TEST_CASE("requestFingerprint_ofTwoCustomers_differs")
