--- a/include/ibisnotch/entry-list.h
+++ b/include/ibisnotch/entry-list.h
@@ -1,4 +1,4 @@
-// The answer to a caller's question which entry instances to use. With no balancer before them,
+// The answer to a caller's input which entry instances to use. With no balancer before them,
 // this answer is what balances.
 #pragma once
 
@@ -25,7 +25,7 @@
 EntryList makeEntryList(const std::vector<Member> &members, const std::string &callerRegion,
                         const std::vector<std::string> &allowedRegions, Random &random);
 
-struct LocalEntryQuestion
+struct LocalEntryListInput
 {
     std::string callerRegion;
     // How many services may run in each region.
@@ -37,7 +37,7 @@
 // none is, as when all stop in turn for planned work, those of the regions where most services may
 // run: a caller sent elsewhere would hand its data to a region that may not have it. Which service
 // a caller will ask for is not known; it may use one answer for several hosts. In random order.
-EntryList makeLocalEntryList(const std::vector<Member> &members, const LocalEntryQuestion &question,
+EntryList makeLocalEntryList(const std::vector<Member> &members, const LocalEntryListInput &input,
                              Random &random);
 
 // The few instances of another region that one instance hands its requests to, so that it finds a
@@ -45,7 +45,7 @@
 // requests drawn over all of them met a new connection nearly each time (median first token of
 // digests in a region pair 80 ms apart 525 ms, with usual peers 394 ms). Chosen by rendezvous, so
 // that senders spread over the region, and a member that goes moves only its own senders.
-std::vector<Member> usualPeers(std::vector<Member> members, const std::string &self,
-                               const std::string &region);
+std::vector<Member> preferredPeers(std::vector<Member> members, const std::string &self,
+                                   const std::string &region);
 
 } // namespace ibisnotch
--- a/include/ibisnotch/forward-path.h
+++ b/include/ibisnotch/forward-path.h
@@ -23,10 +23,10 @@
 constexpr std::string_view forwardPathHeader = "X-Ibisnotch-Path";
 // Attempts of the request that may have run so far. Without it, the next instance would allow as
 // many again, and one request would run on more servers than its service permits.
-constexpr std::string_view runsBeforeHeader = "X-Ibisnotch-Runs";
+constexpr std::string_view previousRunsHeader = "X-Ibisnotch-Runs";
 
 // "bp-1@budapest,gy-1@gyor"
-std::string printForwardPath(const ForwardPath &path);
+std::string formatForwardPath(const ForwardPath &path);
 absl::StatusOr<ForwardPath> parseForwardPath(std::string_view text);
 
 // How often the path changes regions.
@@ -38,6 +38,6 @@
 absl::Status checkForwardPath(const ForwardPath &path, const Hop &self);
 
 // Whether an instance that holds a request with this path may hand it to one in that region.
-bool mayForwardTo(const ForwardPath &path, const Hop &self, const Hop &next);
+bool canForwardTo(const ForwardPath &path, const Hop &self, const Hop &next);
 
 } // namespace ibisnotch
--- a/src/decide/burn.cc
+++ b/src/decide/burn.cc
@@ -6,7 +6,7 @@
 
 namespace {
 
-constexpr std::int64_t keptMinutes = 360;
+constexpr std::int64_t maxMinutes = 360;
 
 std::int64_t minuteOf(WallTime time)
 {
@@ -24,7 +24,7 @@
     BurnCount &count = minutes[minute];
     ++count.total;
     count.bad += bad ? 1 : 0;
-    while (minutes.begin()->first <= minute - keptMinutes)
+    while (minutes.begin()->first <= minute - maxMinutes)
         minutes.erase(minutes.begin());
 }
 
--- a/src/decide/entry-list.cc
+++ b/src/decide/entry-list.cc
@@ -10,14 +10,14 @@
 
 namespace {
 
-constexpr std::size_t mostInstances = 6;
+constexpr std::size_t maxInstances = 6;
 constexpr double lifetimeSeconds = 10;
 constexpr double fullPercent = 100;
-constexpr double leastWeight = 0.05;
+constexpr double minWeight = 0.05;
 
 struct Ranked
 {
-    bool home = false;
+    bool isLocal = false;
     double draw = 0;
     const Member *member = nullptr;
 };
@@ -33,17 +33,17 @@
             != allowedRegions.end();
         if (member.state != MemberState::alive || !allowed)
             continue;
-        const double free = std::max(leastWeight, 1 - member.loadPercent / fullPercent);
+        const double free = std::max(minWeight, 1 - member.loadPercent / fullPercent);
         // The logarithm of a uniform number over the weight orders a weighted sample.
         const double draw = std::log(random.uniform() + 1e-12) / free;
         ranked.push_back({member.region == callerRegion, draw, &member});
     }
     std::sort(ranked.begin(), ranked.end(), [](const Ranked &a, const Ranked &b) {
-        return a.home != b.home ? a.home : a.draw > b.draw;
+        return a.isLocal != b.isLocal ? a.isLocal : a.draw > b.draw;
     });
     EntryList list;
     for (const Ranked &item : ranked) {
-        if (list.instances.size() < mostInstances)
+        if (list.instances.size() < maxInstances)
             list.instances.push_back(*item.member);
     }
     const double lifetime = lifetimeSeconds * (0.8 + 0.4 * random.uniform());
@@ -51,15 +51,15 @@
     return list;
 }
 
-EntryList makeLocalEntryList(const std::vector<Member> &members, const LocalEntryQuestion &question,
+EntryList makeLocalEntryList(const std::vector<Member> &members, const LocalEntryListInput &input,
                              Random &random)
 {
-    constexpr std::size_t mostNamed = 64;
+    constexpr std::size_t maxLocalInstances = 64;
     const auto rank = [&](const Member &member) {
-        if (member.region == question.callerRegion)
+        if (member.region == input.callerRegion)
             return std::numeric_limits<int>::max();
-        const auto found = question.servicesAllowed.find(member.region);
-        return found == question.servicesAllowed.end() ? 0 : found->second;
+        const auto found = input.servicesAllowed.find(member.region);
+        return found == input.servicesAllowed.end() ? 0 : found->second;
     };
     EntryList list;
     int best = 0;
@@ -73,24 +73,24 @@
     }
     for (std::size_t i = list.instances.size(); i > 1; --i)
         std::swap(list.instances[i - 1], list.instances[random.below(i)]);
-    if (list.instances.size() > mostNamed)
-        list.instances.resize(mostNamed);
-    list.lifetime = question.lifetime;
+    if (list.instances.size() > maxLocalInstances)
+        list.instances.resize(maxLocalInstances);
+    list.lifetime = input.lifetime;
     return list;
 }
 
-std::vector<Member> usualPeers(std::vector<Member> members, const std::string &self,
-                               const std::string &region)
+std::vector<Member> preferredPeers(std::vector<Member> members, const std::string &self,
+                                   const std::string &region)
 {
-    constexpr std::size_t most = 3;
-    const std::uint64_t task = hash64(self);
+    constexpr std::size_t maxPeers = 3;
+    const std::uint64_t senderKey = hash64(self);
     std::erase_if(members, [&](const Member &member) {
         return member.region != region || member.state != MemberState::alive;
     });
-    std::sort(members.begin(), members.end(), [task](const Member &a, const Member &b) {
-        return rendezvousWeight(a.name, task) > rendezvousWeight(b.name, task);
+    std::sort(members.begin(), members.end(), [senderKey](const Member &a, const Member &b) {
+        return rendezvousWeight(a.name, senderKey) > rendezvousWeight(b.name, senderKey);
     });
-    members.resize(std::min(most, members.size()));
+    members.resize(std::min(maxPeers, members.size()));
     return members;
 }
 
--- a/src/decide/forward-path.cc
+++ b/src/decide/forward-path.cc
@@ -12,12 +12,12 @@
 namespace {
 
 // From the caller's instance to the issuer of its booking key, and from there to another region.
-constexpr std::size_t mostHops = 2;
-constexpr int mostRegionChanges = 1;
+constexpr std::size_t maxHops = 2;
+constexpr int maxRegionChanges = 1;
 
 } // namespace
 
-std::string printForwardPath(const ForwardPath &path)
+std::string formatForwardPath(const ForwardPath &path)
 {
     return absl::StrJoin(path, ",", [](std::string *out, const Hop &hop) {
         out->append(hop.instance + "@" + hop.region);
@@ -47,17 +47,18 @@
 
 absl::Status checkForwardPath(const ForwardPath &path, const Hop &self)
 {
-    const bool beenHere = std::any_of(path.begin(), path.end(), [&self](const Hop &hop) {
+    const bool alreadyVisited = std::any_of(path.begin(), path.end(), [&self](const Hop &hop) {
         return hop.instance == self.instance;
     });
     ForwardPath whole = path;
     whole.push_back(self);
-    if (beenHere || path.size() > mostHops || regionChanges(whole) > mostRegionChanges)
-        return makeStatus(ResultCode::loopRefused, "the request came by " + printForwardPath(path));
+    if (alreadyVisited || path.size() > maxHops || regionChanges(whole) > maxRegionChanges)
+        return makeStatus(ResultCode::loopRefused,
+                          "the request came by " + formatForwardPath(path));
     return absl::OkStatus();
 }
 
-bool mayForwardTo(const ForwardPath &path, const Hop &self, const Hop &next)
+bool canForwardTo(const ForwardPath &path, const Hop &self, const Hop &next)
 {
     ForwardPath whole = path;
     whole.push_back(self);
--- a/src/entry/control.cc
+++ b/src/entry/control.cc
@@ -215,7 +215,7 @@
 
 void Control::publishMembers()
 {
-    m_state.servers.setSenders(m_membership.senders(m_state.clock.now()));
+    m_state.servers.setSenders(m_membership.possibleSenders(m_state.clock.now()));
     std::vector<Member> members = m_membership.members();
     members.push_back(m_membership.self());
     shareRetries(members.size());
--- a/src/entry/dispatch-booking.cc
+++ b/src/entry/dispatch-booking.cc
@@ -67,7 +67,7 @@
     });
     if (found == members->end())
         return refuse({ResultCode::issuerGone, "", {}});
-    if (!mayForwardTo(m_exchange->path, m_state.hop(), {found->name, found->region}))
+    if (!canForwardTo(m_exchange->path, m_state.hop(), {found->name, found->region}))
         return refuse({ResultCode::loopRefused, "", {}});
     const auto &allowed = m_exchange->allowedRegions;
     if (std::find(allowed.begin(), allowed.end(), found->region) == allowed.end())
--- a/src/entry/dispatch-plan.cc
+++ b/src/entry/dispatch-plan.cc
@@ -140,7 +140,7 @@
     question.allowed = m_exchange->allowedRegions;
     for (const Member &member : *members) {
         const bool usable = member.state == MemberState::alive && m_tried.count(member.name) == 0
-            && mayForwardTo(m_exchange->path, m_state.hop(), {member.name, member.region});
+            && canForwardTo(m_exchange->path, m_state.hop(), {member.name, member.region});
         if (usable)
             question.reachable.push_back(member.region);
     }
@@ -229,7 +229,7 @@
     std::erase_if(members, [&](const Member &member) {
         return m_tried.count(member.name) > 0 || member.name == m_state.settings.name;
     });
-    members = usualPeers(std::move(members), m_state.settings.name, region);
+    members = preferredPeers(std::move(members), m_state.settings.name, region);
     const EntryList list = makeEntryList(members, region, {region}, m_state.random);
     if (list.instances.empty())
         return Refusal{ResultCode::noBackendServer, "",
--- a/src/entry/dispatch.cc
+++ b/src/entry/dispatch.cc
@@ -236,8 +236,8 @@
         return request;
     ForwardPath path = exchange.path;
     path.push_back(m_state.hop());
-    request.headers.add(std::string(forwardPathHeader), printForwardPath(path));
-    request.headers.add(std::string(runsBeforeHeader),
+    request.headers.add(std::string(forwardPathHeader), formatForwardPath(path));
+    request.headers.add(std::string(previousRunsHeader),
                         std::to_string(exchange.earlierRuns + m_runs));
     const bool holdsRight = m_right == Right::claim || m_right == Right::issuedKey;
     if (holdsRight || exchange.sendRightAcquired)
--- a/test/entry-list-test.cc
+++ b/test/entry-list-test.cc
@@ -65,24 +65,24 @@
 {
     std::vector<Member> members = fleet();
     Random random(1);
-    const LocalEntryQuestion question{"a", {{"a", 9}, {"b", 8}, {"c", 7}}, std::chrono::seconds(2)};
-    CHECK(makeLocalEntryList(members, question, random).instances.size() == 3);
+    const LocalEntryListInput input{"a", {{"a", 9}, {"b", 8}, {"c", 7}}, std::chrono::seconds(2)};
+    CHECK(makeLocalEntryList(members, input, random).instances.size() == 3);
     for (Member &member : members) {
         if (member.region == "a")
             member.state = MemberState::leaving;
     }
-    const EntryList list = makeLocalEntryList(members, question, random);
+    const EntryList list = makeLocalEntryList(members, input, random);
     REQUIRE(list.instances.size() == 2);
     CHECK(list.instances[0].region == "b");
     CHECK(list.instances[1].region == "b");
     for (Member &member : members)
         member.state = MemberState::dead;
-    CHECK(makeLocalEntryList(members, question, random).instances.empty());
+    CHECK(makeLocalEntryList(members, input, random).instances.empty());
 }
 
 // What callers see: nothing. In what order: requests are sent away, an instance of that region
 // goes. Why: senders that all moved would meet new connections, 160 ms more between regions.
-TEST_CASE("usualPeers_oneGoes_onlyItsOwnPlaceChanges")
+TEST_CASE("preferredPeers_oneInstanceRemoved_onlyItsPlaceChanges")
 {
     std::vector<Member> members;
     for (int i = 0; i < 20; ++i) {
@@ -93,16 +93,16 @@
     std::map<std::string, int> uses;
     for (int sender = 0; sender < 60; ++sender) {
         const std::string self = "a" + std::to_string(sender);
-        const std::vector<Member> before = usualPeers(members, self, "b");
+        const std::vector<Member> before = preferredPeers(members, self, "b");
         REQUIRE(before.size() == 3);
         for (const Member &member : before)
             ++uses[member.name];
         std::vector<Member> left = members;
         std::erase_if(left, [&](const Member &member) { return member.name == before[1].name; });
-        const std::vector<Member> after = usualPeers(left, self, "b");
+        const std::vector<Member> after = preferredPeers(left, self, "b");
         CHECK(after[0] == before[0]);
         CHECK(after[1] == before[2]);
     }
     CHECK(uses.size() == 20);
-    CHECK(usualPeers(members, "a1", "c").empty());
+    CHECK(preferredPeers(members, "a1", "c").empty());
 }
--- a/test/forward-path-test.cc
+++ b/test/forward-path-test.cc
@@ -45,14 +45,14 @@
     const ForwardPath path{{"a1", "a"}, {"b1", "b"}};
     CHECK(resultCodeOf(checkForwardPath(path, {"a2", "a"})) == ResultCode::loopRefused);
     CHECK(checkForwardPath(path, {"b2", "b"}).ok());
-    CHECK_FALSE(mayForwardTo({{"a1", "a"}}, {"b1", "b"}, {"c1", "c"}));
-    CHECK(mayForwardTo({}, {"a1", "a"}, {"c1", "c"}));
+    CHECK_FALSE(canForwardTo({{"a1", "a"}}, {"b1", "b"}, {"c1", "c"}));
+    CHECK(canForwardTo({}, {"a1", "a"}, {"c1", "c"}));
 }
 
 TEST_CASE("parseForwardPath_ofPrintedPaths_givesThemBack")
 {
     const ForwardPath path{{"a1", "a"}, {"b1", "b"}};
-    CHECK(*parseForwardPath(printForwardPath(path)) == path);
+    CHECK(*parseForwardPath(formatForwardPath(path)) == path);
     for (const char *text : {"", "a1", "a1@", "@a", "a1@a,,b1@b", "a1@a@b"})
         CHECK_FALSE(parseForwardPath(text).ok());
 }
