--- a/include/ibisnotch/membership.h
+++ b/include/ibisnotch/membership.h
@@ -1,5 +1,5 @@
-// Which entry instances there are: failure detection by direct and indirect probes, suspicion,
-// refutation by a higher incarnation, and updates carried along with the probes.
+// Membership of the entry instances (SWIM): failure detection by direct and indirect probes,
+// suspicion, refutation by a higher incarnation, and updates that are sent along with the probes.
 #pragma once
 
 #include <cstdint>
@@ -14,7 +14,7 @@
 
 namespace ibisnotch {
 
-// In the order in which one state overrides another of the same incarnation.
+// Within one incarnation, a later state overrides an earlier one.
 enum class MemberState : std::uint8_t { alive, suspect, leaving, dead, left };
 
 struct Member
@@ -22,12 +22,12 @@
     std::string name;
     std::string region;
     std::string dataCentre;
-    std::string callerAddress; // IP:port, as for the two below
+    std::string callerAddress; // IP:port, like the next two addresses
     std::string peerAddress;
     std::string gossipAddress;
     std::uint64_t incarnation = 0;
     MemberState state = MemberState::alive;
-    std::uint8_t loadPercent = 0; // of its own share of the region's capacity
+    std::uint8_t loadPercent = 0; // load of this instance's share of the region's capacity
 
     template <typename Archive> void serialize(Archive &archive)
     {
@@ -37,7 +37,7 @@
     bool operator==(const Member &) const = default;
 };
 
-// True if what a says of a member overrides what b says.
+// Returns true if the state of a member in `a` overrides the state of the same member in `b`.
 bool overrides(const Member &a, const Member &b);
 
 enum class ProbeKind : std::uint8_t { ping, ack, pingRequest };
@@ -47,7 +47,7 @@
     ProbeKind kind = ProbeKind::ping;
     std::uint64_t sequence = 0;
     Member sender;
-    Member target; // of a ping request
+    Member target; // only in a ping request: the member to ping
     std::vector<Member> updates;
 
     template <typename Archive> void serialize(Archive &archive)
@@ -66,39 +66,43 @@
 
 struct MembershipSettings
 {
-    Duration period = std::chrono::seconds(1);
+    Duration probeInterval = std::chrono::seconds(1);
     Duration ackTimeout = std::chrono::milliseconds(400);
-    Duration suspicion = std::chrono::seconds(3);
-    // A dead member is kept, and probed now and then, so that two sides of a healed partition find
-    // each other again without an operator.
+    // Time after which a suspect member is declared dead unless it refutes the suspicion.
+    Duration suspicionTimeout = std::chrono::seconds(3);
+    // Dead members are kept for this time and probed occasionally, so that the two sides of a
+    // network partition find each other again without an operator once it has healed.
     Duration deadRetention = std::chrono::hours(1);
-    // How long a dead member may still be sending to backend servers, cut off from us alone.
+    // Time for which a dead member still counts as sending to backend servers: it may run and only
+    // be unreachable from this instance.
     Duration deadSenderGrace = std::chrono::seconds(30);
     int indirectProbes = 3;
-    // The part of the probes that stays in the own region. Load reports travel with those, and a
-    // region's instances need them within seconds however many other regions there are.
+    // Share of the probes that go to members of the own region. These probes carry load reports,
+    // which a region's instances need within seconds, however many other regions there are.
     double localProbeShare = 0.75;
     std::size_t updatesPerProbe = 8;
     std::size_t syncEntriesPerProbe = 2;
-    // A gap between two ticks that shows that this process was frozen.
+    // A longer gap between two ticks means that this process was stalled.
     Duration stallThreshold = std::chrono::seconds(3);
 };
 
-// Decides probes and states. No I/O; not thread safe.
+// Decides which probes to send and which state each member has. Does no I/O; not thread safe.
 class Membership
 {
 public:
     Membership(Member self, std::vector<std::string> seeds, MembershipSettings settings);
 
-    // Call several times a period. Returns what to send.
+    // Starts and times out probes; must be called several times per probe interval. Returns the
+    // probes to send.
     std::vector<OutgoingProbe> tick(TimePoint now, Random &random);
     std::vector<OutgoingProbe> onProbe(const Probe &probe, const std::string &from, TimePoint now,
                                        Random &random);
 
-    // What another instance says of a member, from any channel. True if it was updates.
+    // Applies a member state reported by another instance, over any channel. Returns true if it
+    // changed the state known here.
     bool applyUpdate(const Member &member, TimePoint now);
 
-    // Sends our state at once to some members, for updates that must not wait.
+    // Returns pings to `fanout` random members, for updates that must not wait for the next probe.
     std::vector<OutgoingProbe> broadcast(int fanout, Random &random);
 
     void leave();
@@ -106,14 +110,14 @@
     void setLoadPercent(std::uint8_t percent) { m_self.loadPercent = percent; }
 
     const Member &self() const { return m_self; }
-    std::vector<Member> members() const; // without self
-    std::vector<Member> aliveMembers() const; // without self; alive only
+    std::vector<Member> members() const; // in any state, without this instance
+    std::vector<Member> aliveMembers() const; // without this instance
 
-    // The instances of the own region that may be sending to its backend servers, self included.
-    // One that was found dead may only be cut off, so it counts for some time longer.
+    // Returns the names of the instances of the own region that may be sending to its backend
+    // servers, including this instance. A dead member is included for `deadSenderGrace`.
     std::vector<std::string> possibleSenders(TimePoint now) const;
 
-    // True once a tick came late by more than the freeze gap; cleared by the call.
+    // Returns true if this process has stalled since the last call.
     bool consumeStall();
 
 private:
@@ -131,9 +135,9 @@
     };
     struct RelayedProbe
     {
-        std::string address;
-        std::uint64_t sequence = 0;
-        TimePoint until;
+        std::string address; // of the instance that requested the ping
+        std::uint64_t sequence = 0; // of its request
+        TimePoint expiresAt;
     };
 
     Probe makeProbe(ProbeKind kind, std::uint64_t sequence);
--- a/src/decide/membership.cc
+++ b/src/decide/membership.cc
@@ -37,8 +37,8 @@
 
 int Membership::transmissionCount() const
 {
-    // Each piece of updates is carried a few times per doubling of the fleet, which reaches
-    // everyone with high probability and then stops.
+    // Each update is sent a few times per doubling of the member count, which reaches all members
+    // with high probability.
     constexpr int transmissionsPerDoubling = 3;
     return transmissionsPerDoubling * static_cast<int>(std::bit_width(m_entries.size() + 1));
 }
@@ -66,8 +66,8 @@
     return probe;
 }
 
-// News stops travelling once it has probably reached everyone. For those it missed, each probe has
-// room for a few old entries in turn, which in time brings every table together.
+// An update is no longer sent once it has probably reached all members. For members that missed it,
+// each probe also carries a few entries of the whole table in turn, so that all tables converge.
 void Membership::addSyncEntries(Probe &probe)
 {
     for (std::size_t i = 0; i < std::min(m_settings.syncEntriesPerProbe, m_entries.size()); ++i) {
@@ -90,7 +90,7 @@
     checkPendingProbes(now, random, out);
     expire(now);
     if (now >= m_nextProbe) {
-        m_nextProbe = now + m_settings.period;
+        m_nextProbe = now + m_settings.probeInterval;
         startProbe(now, random, out);
         probeSeedOrDead(random, out);
     }
@@ -99,8 +99,8 @@
 
 void Membership::restartTimersAfterStall(TimePoint now)
 {
-    // This process stood still; the others did not. Timers that ran out meanwhile say nothing about
-    // them, and acting on those would declare a healthy fleet dead on waking.
+    // Timers that expired while this process was stalled say nothing about the other members;
+    // acting on them would declare healthy members dead.
     m_stalled = true;
     m_pendingProbes.clear();
     m_relayedProbes.clear();
@@ -120,8 +120,8 @@
 std::optional<std::string> Membership::nextTarget(std::deque<std::string> &round, bool local,
                                                   Random &random)
 {
-    // A shuffled round rather than random picks: each member is probed once a round, which bounds
-    // the time until a failure is noticed.
+    // Probes each member once per shuffled round instead of picking members independently at
+    // random, which bounds the time until a failure is detected.
     for (int pass = 0; pass < 2; ++pass) {
         while (!round.empty()) {
             const std::string name = round.front();
@@ -170,26 +170,27 @@
 
 void Membership::checkPendingProbes(TimePoint now, Random &random, std::vector<OutgoingProbe> &out)
 {
-    std::vector<std::uint64_t> over;
+    std::vector<std::uint64_t> expired;
     for (auto &[sequence, pending] : m_pendingProbes) {
         if (now < pending.ackDeadline)
             continue;
         if (!pending.indirect) {
             pending.indirect = true;
-            pending.ackDeadline = now + m_settings.period - m_settings.ackTimeout;
+            pending.ackDeadline = now + m_settings.probeInterval - m_settings.ackTimeout;
             sendPingRequests(pending, sequence, random, out);
             continue;
         }
-        over.push_back(sequence);
+        expired.push_back(sequence);
         const auto found = m_entries.find(pending.name);
         if (found != m_entries.end() && found->second.member.state == MemberState::alive)
             setState(found->second, MemberState::suspect, now);
         else if (found != m_entries.end() && found->second.member.state == MemberState::leaving)
             setState(found->second, MemberState::left, now);
     }
-    for (const std::uint64_t sequence : over)
+    for (const std::uint64_t sequence : expired)
         m_pendingProbes.erase(sequence);
-    std::erase_if(m_relayedProbes, [now](const auto &relay) { return relay.second.until <= now; });
+    std::erase_if(m_relayedProbes,
+                  [now](const auto &relay) { return relay.second.expiresAt <= now; });
 }
 
 void Membership::sendPingRequests(const PendingProbe &pending, std::uint64_t sequence,
@@ -198,17 +199,17 @@
     const auto target = m_entries.find(pending.name);
     if (target == m_entries.end())
         return;
-    std::deque<std::string> helpers;
+    std::deque<std::string> relays;
     for (const Member &member : aliveMembers()) {
         if (member.name != pending.name)
-            helpers.push_back(member.gossipAddress);
+            relays.push_back(member.gossipAddress);
     }
-    shuffle(helpers, random);
-    const auto count = std::min<std::size_t>(helpers.size(), m_settings.indirectProbes);
+    shuffle(relays, random);
+    const auto count = std::min<std::size_t>(relays.size(), m_settings.indirectProbes);
     for (std::size_t i = 0; i < count; ++i) {
         Probe probe = makeProbe(ProbeKind::pingRequest, sequence);
         probe.target = target->second.member;
-        out.push_back({helpers[i], std::move(probe)});
+        out.push_back({relays[i], std::move(probe)});
     }
 }
 
@@ -222,7 +223,7 @@
 void Membership::expire(TimePoint now)
 {
     for (auto &[name, entry] : m_entries) {
-        const bool overdue = entry.changedAt + m_settings.suspicion <= now;
+        const bool overdue = entry.changedAt + m_settings.suspicionTimeout <= now;
         if (entry.member.state == MemberState::suspect && overdue)
             setState(entry, MemberState::dead, now);
     }
@@ -234,11 +235,11 @@
 
 bool Membership::applyUpdateOfSelf(const Member &member)
 {
-    // Someone takes us for suspect or dead, or remembers an earlier run of this instance. A higher
-    // incarnation is the only thing that overrides it, and only we may raise ours.
-    const bool wrong = member.incarnation > m_self.incarnation
+    // Another instance holds this one for suspect or dead, or knows an earlier run of it. Only a
+    // higher incarnation overrides that, and only the instance itself may raise its incarnation.
+    const bool mustRefute = member.incarnation > m_self.incarnation
         || (member.incarnation == m_self.incarnation && member.state > m_self.state);
-    if (!wrong)
+    if (!mustRefute)
         return false;
     m_self.incarnation = member.incarnation + 1;
     return true;
@@ -252,7 +253,7 @@
         return applyUpdateOfSelf(member);
     const auto found = m_entries.find(member.name);
     if (found == m_entries.end()) {
-        // News of a member that is gone already would bring it back for others to probe.
+        // Adding a dead member would make this instance report it to others, which would probe it.
         if (isDeadOrLeft(member.state))
             return false;
         m_entries[member.name] = {member, now, transmissionCount()};
@@ -269,14 +270,14 @@
                                                TimePoint now, Random &random)
 {
     std::vector<OutgoingProbe> out;
-    // Read before learning, which may overwrite what we hold of the sender.
+    // Read before the updates are applied, which may overwrite the sender's entry.
     const auto known = m_entries.find(probe.sender.name);
     const bool isSenderPresumedDead = known != m_entries.end()
         && known->second.member.state >= MemberState::suspect
         && known->second.member.state != MemberState::leaving;
-    Member held;
+    Member previousEntry;
     if (isSenderPresumedDead)
-        held = known->second.member;
+        previousEntry = known->second.member;
     applyUpdate(probe.sender, now);
     if (const auto entry = m_entries.find(probe.sender.name); entry != m_entries.end())
         entry->second.member.loadPercent = probe.sender.loadPercent;
@@ -286,15 +287,15 @@
     switch (probe.kind) {
     case ProbeKind::ping: {
         Probe ack = makeProbe(ProbeKind::ack, probe.sequence);
-        // Tell a member that we thought gone, so that it can refute at once.
+        // Tells the sender that this instance presumed it dead, so that it can refute that at once.
         if (isSenderPresumedDead)
-            ack.updates.push_back(held);
+            ack.updates.push_back(previousEntry);
         out.push_back({from, std::move(ack)});
         break;
     }
     case ProbeKind::pingRequest: {
         const std::uint64_t sequence = ++m_sequence;
-        m_relayedProbes[sequence] = {from, probe.sequence, now + m_settings.period};
+        m_relayedProbes[sequence] = {from, probe.sequence, now + m_settings.probeInterval};
         out.push_back({probe.target.gossipAddress, makeProbe(ProbeKind::ping, sequence)});
         break;
     }
@@ -343,10 +344,10 @@
 {
     std::vector<std::string> names{m_self.name};
     for (const auto &[name, entry] : m_entries) {
-        const bool gone = entry.member.state == MemberState::left
+        const bool cannotSend = entry.member.state == MemberState::left
             || (entry.member.state == MemberState::dead
                 && entry.changedAt + m_settings.deadSenderGrace <= now);
-        if (entry.member.region == m_self.region && !gone)
+        if (entry.member.region == m_self.region && !cannotSend)
             names.push_back(name);
     }
     return names;
--- a/test/membership-test.cc
+++ b/test/membership-test.cc
@@ -21,7 +21,8 @@
     return member;
 }
 
-// Instances that exchange probes through a network that loses, cuts and delays, on a paused clock.
+// Instances that exchange probes over a simulated network with losses and partitions, on a
+// simulated clock.
 class FakeFleet
 {
 public:
@@ -39,11 +40,14 @@
     }
 
     void kill(const std::string &name) { m_nodes.erase(name); }
-    void freeze(const std::string &name, bool frozen)
+    void setStalled(const std::string &name, bool stalled)
     {
-        frozen ? (void)m_frozen.insert(name) : (void)m_frozen.erase(name);
+        stalled ? (void)m_stalled.insert(name) : (void)m_stalled.erase(name);
+    }
+    void setIsolated(const std::string &region, bool isolated)
+    {
+        m_isolatedRegion = isolated ? region : "";
     }
-    void cut(const std::string &region, bool isCut) { m_cut = isCut ? region : ""; }
     void setLoss(double loss) { m_loss = loss; }
     Membership &node(const std::string &name) { return m_nodes.at(name); }
 
@@ -52,17 +56,17 @@
         for (Duration passed{}; passed < time; passed += 100ms) {
             m_now += 100ms;
             for (auto &[name, node] : m_nodes) {
-                if (m_frozen.count(name) == 0)
+                if (m_stalled.count(name) == 0)
                     send(name, node.tick(m_now, m_random));
             }
             deliver();
         }
     }
 
-    MemberState seen(const std::string &by, const std::string &whom)
+    MemberState stateSeenBy(const std::string &observer, const std::string &name)
     {
-        for (const Member &member : m_nodes.at(by).members()) {
-            if (member.name == whom)
+        for (const Member &member : m_nodes.at(observer).members()) {
+            if (member.name == name)
                 return member.state;
         }
         return MemberState::left;
@@ -74,19 +78,20 @@
     void send(const std::string &from, const std::vector<OutgoingProbe> &probes)
     {
         for (const OutgoingProbe &probe : probes)
-            m_wire.push_back({from, probe});
+            m_inTransit.push_back({from, probe});
     }
 
     void deliver()
     {
         for (int round = 0; round < 4; ++round) {
-            const auto wire = std::move(m_wire);
-            m_wire.clear();
-            for (const auto &[from, probe] : wire) {
-                const bool across = !m_cut.empty()
-                    && (from.substr(0, 1) == m_cut) != (probe.address.substr(0, 1) == m_cut);
+            const auto inTransit = std::move(m_inTransit);
+            m_inTransit.clear();
+            for (const auto &[from, probe] : inTransit) {
+                const bool isDropped = !m_isolatedRegion.empty()
+                    && (from.substr(0, 1) == m_isolatedRegion)
+                        != (probe.address.substr(0, 1) == m_isolatedRegion);
                 const auto node = m_nodes.find(probe.address);
-                if (across || node == m_nodes.end() || m_frozen.count(probe.address) > 0
+                if (isDropped || node == m_nodes.end() || m_stalled.count(probe.address) > 0
                     || m_random.uniform() < m_loss)
                     continue;
                 send(probe.address, node->second.onProbe(probe.probe, from, m_now, m_random));
@@ -97,22 +102,22 @@
     std::vector<std::string> m_names;
     Random m_random;
     std::map<std::string, Membership> m_nodes;
-    std::set<std::string> m_frozen;
-    std::string m_cut;
+    std::set<std::string> m_stalled;
+    std::string m_isolatedRegion;
     double m_loss = 0;
     TimePoint m_now{};
-    std::vector<std::pair<std::string, OutgoingProbe>> m_wire;
+    std::vector<std::pair<std::string, OutgoingProbe>> m_inTransit;
 };
 
-const std::vector<std::string> nine{"a1", "a2", "a3", "b1", "b2", "b3", "c1", "c2", "c3"};
+const std::vector<std::string> instanceNames{"a1", "a2", "a3", "b1", "b2", "b3", "c1", "c2", "c3"};
 
 void checkAllSeeEachOther(FakeFleet &fleet)
 {
-    for (const std::string &by : nine) {
-        for (const std::string &whom : nine) {
-            INFO(by << " sees " << whom);
-            if (by != whom)
-                CHECK(fleet.seen(by, whom) == MemberState::alive);
+    for (const std::string &observer : instanceNames) {
+        for (const std::string &name : instanceNames) {
+            INFO(observer << " lists " << name);
+            if (observer != name)
+                CHECK(fleet.stateSeenBy(observer, name) == MemberState::alive);
         }
     }
 }
@@ -121,46 +126,46 @@
 
 TEST_CASE("membership_ofNine_findsEachOtherFromOneSeed")
 {
-    FakeFleet fleet(nine, 1);
+    FakeFleet fleet(instanceNames, 1);
     fleet.run(15s);
     checkAllSeeEachOther(fleet);
 }
 
-// What callers see: the same fleet from every instance. In what order: any, with some loss while
-// the instances find each other. Why: news that stopped too early is made up for by the
-// syncEntriesPerProbe.
+// Guards against instances that never learn of a member because the updates about it were lost. The
+// sync entries in each probe make up for lost updates.
 TEST_CASE("membership_ofNineUnderLossAtTheStart_findsEachOtherAlways")
 {
     rc::prop("all see all", [](std::uint64_t seed) {
-        FakeFleet fleet(nine, seed);
+        FakeFleet fleet(instanceNames, seed);
         fleet.setLoss(0.05);
         fleet.run(15s);
         fleet.setLoss(0);
         fleet.run(30s);
-        for (const std::string &by : nine) {
-            for (const std::string &whom : nine)
-                RC_ASSERT(by == whom || fleet.seen(by, whom) == MemberState::alive);
+        for (const std::string &observer : instanceNames) {
+            for (const std::string &name : instanceNames)
+                RC_ASSERT(observer == name
+                          || fleet.stateSeenBy(observer, name) == MemberState::alive);
         }
     });
 }
 
 TEST_CASE("membership_killedInstance_isDeadEverywhereWithinSeconds")
 {
-    FakeFleet fleet(nine, 2);
+    FakeFleet fleet(instanceNames, 2);
     fleet.run(15s);
     fleet.kill("b2");
     fleet.run(20s);
-    for (const std::string &by : nine) {
-        if (by != "b2")
-            CHECK(fleet.seen(by, "b2") == MemberState::dead);
+    for (const std::string &observer : instanceNames) {
+        if (observer != "b2")
+            CHECK(fleet.stateSeenBy(observer, "b2") == MemberState::dead);
     }
 }
 
-// What callers see: nothing. In what order: probes are lost, members are suspected. Why: a
-// suspected member hears of it and refutes by a higher incarnation before the suspicion runs out.
+// Guards against declaring a live member dead when probes are lost: a suspect member refutes the
+// suspicion by a higher incarnation before it times out.
 TEST_CASE("membership_underLoss_keepsLiveMembers")
 {
-    FakeFleet fleet(nine, 3);
+    FakeFleet fleet(instanceNames, 3);
     fleet.run(15s);
     fleet.setLoss(0.1);
     fleet.run(120s);
@@ -169,57 +174,54 @@
     checkAllSeeEachOther(fleet);
 }
 
-// What callers see: the cut region goes on, and after the cut everything is as before. In what
-// order: a region is cut off for minutes, both sides declare the other dead, the cut heals. Why:
-// dead members are probed now and then, learn that they are thought dead, and refute it.
-TEST_CASE("membership_afterARegionWasCutOff_heals")
+// Guards against a partition that outlasts its cause. A region is isolated for minutes and both
+// sides declare each other dead; dead members are still probed, and refute that afterwards.
+TEST_CASE("membership_afterARegionWasIsolated_heals")
 {
-    FakeFleet fleet(nine, 4);
+    FakeFleet fleet(instanceNames, 4);
     fleet.run(15s);
-    fleet.cut("c", true);
+    fleet.setIsolated("c", true);
     fleet.run(180s);
-    CHECK(fleet.seen("a1", "c1") == MemberState::dead);
-    CHECK(fleet.seen("c1", "c2") == MemberState::alive);
-    CHECK(fleet.seen("c1", "a1") == MemberState::dead);
-    fleet.cut("c", false);
+    CHECK(fleet.stateSeenBy("a1", "c1") == MemberState::dead);
+    CHECK(fleet.stateSeenBy("c1", "c2") == MemberState::alive);
+    CHECK(fleet.stateSeenBy("c1", "a1") == MemberState::dead);
+    fleet.setIsolated("c", false);
     fleet.run(120s);
     checkAllSeeEachOther(fleet);
 }
 
-// What callers see: as above. In what order: the same, but the only seed has been gone for long.
-// Why: it is the dead members that are probed, not only the seeds.
-TEST_CASE("membership_afterACutWithoutItsSeed_heals")
+// The same with the only seed instance stopped: dead members must be probed, not only the seeds.
+TEST_CASE("membership_afterAPartitionWithoutItsSeed_heals")
 {
-    FakeFleet fleet(nine, 8);
+    FakeFleet fleet(instanceNames, 8);
     fleet.run(15s);
     fleet.kill("a1");
     fleet.run(30s);
-    fleet.cut("c", true);
+    fleet.setIsolated("c", true);
     fleet.run(180s);
-    CHECK(fleet.seen("c1", "a2") == MemberState::dead);
-    fleet.cut("c", false);
+    CHECK(fleet.stateSeenBy("c1", "a2") == MemberState::dead);
+    fleet.setIsolated("c", false);
     fleet.run(180s);
-    CHECK(fleet.seen("c1", "a2") == MemberState::alive);
-    CHECK(fleet.seen("a2", "c1") == MemberState::alive);
-    CHECK(fleet.seen("b1", "c3") == MemberState::alive);
+    CHECK(fleet.stateSeenBy("c1", "a2") == MemberState::alive);
+    CHECK(fleet.stateSeenBy("a2", "c1") == MemberState::alive);
+    CHECK(fleet.stateSeenBy("b1", "c3") == MemberState::alive);
 }
 
-// What callers see: no wave of instances leaving the list. In what order: an instance is frozen for
-// a minute, wakes, and finds all its timers run out. Why: a gap between its own ticks tells it that
-// it slept, so it excuses the others.
-TEST_CASE("membership_wokenFromAFreeze_doesNotDeclareTheFleetDead")
+// Guards against an instance that declares all others dead after it was stalled for a minute, when
+// all its timers have expired. It detects the stall by the gap between its own ticks.
+TEST_CASE("membership_resumedAfterAStall_doesNotDeclareOthersDead")
 {
-    FakeFleet fleet(nine, 5);
+    FakeFleet fleet(instanceNames, 5);
     fleet.run(15s);
-    fleet.freeze("a2", true);
+    fleet.setStalled("a2", true);
     fleet.run(60s);
-    CHECK(fleet.seen("b1", "a2") == MemberState::dead);
-    fleet.freeze("a2", false);
+    CHECK(fleet.stateSeenBy("b1", "a2") == MemberState::dead);
+    fleet.setStalled("a2", false);
     fleet.run(1s);
     CHECK(fleet.node("a2").consumeStall());
-    for (const std::string &whom : nine) {
-        if (whom != "a2")
-            CHECK(fleet.seen("a2", whom) == MemberState::alive);
+    for (const std::string &name : instanceNames) {
+        if (name != "a2")
+            CHECK(fleet.stateSeenBy("a2", name) == MemberState::alive);
     }
     fleet.run(60s);
     checkAllSeeEachOther(fleet);
@@ -227,7 +229,7 @@
 
 TEST_CASE("membership_restartedInstance_isAliveAgain")
 {
-    FakeFleet fleet(nine, 6);
+    FakeFleet fleet(instanceNames, 6);
     fleet.run(15s);
     fleet.kill("c3");
     fleet.run(20s);
@@ -238,13 +240,13 @@
 
 TEST_CASE("membership_leavingInstance_isKnownAtOnceAndNotBroughtBack")
 {
-    FakeFleet fleet(nine, 7);
+    FakeFleet fleet(instanceNames, 7);
     fleet.run(15s);
     fleet.node("a3").leave();
     fleet.run(10s);
-    for (const std::string &by : nine) {
-        if (by != "a3")
-            CHECK(fleet.seen(by, "a3") == MemberState::leaving);
+    for (const std::string &observer : instanceNames) {
+        if (observer != "a3")
+            CHECK(fleet.stateSeenBy(observer, "a3") == MemberState::leaving);
     }
     Membership &b1 = fleet.node("b1");
     CHECK_FALSE(b1.applyUpdate(makeMember("a3", 1), fleet.now()));
