--- a/include/ibisnotch/booking.h
+++ b/include/ibisnotch/booking.h
@@ -1,5 +1,5 @@
-// Bookings at most once: the forms of keys, claim pages in the store, and keys that an entry
-// instance issues and serves from memory.
+// At-most-once bookings: the formats of booking keys, the claim pages in the store, and keys that
+// an entry instance issues and tracks in memory.
 #pragma once
 
 #include <cstdint>
@@ -19,7 +19,7 @@
 
 namespace ibisnotch {
 
-// A caller's own key: a UUID of version 7, which carries its time of birth.
+// A key made by the caller: a UUID of version 7, which contains its creation time.
 struct CallerKey
 {
     std::string text;
@@ -27,7 +27,7 @@
     bool operator==(const CallerKey &) const = default;
 };
 
-// A key handed out by an entry instance: "ib1.<instance>.<incarnation>.<random>".
+// A key issued by an entry instance: "ib1.<instance>.<incarnation>.<random>".
 struct IssuedKey
 {
     std::string text;
@@ -41,36 +41,38 @@
 // Fails with ResultCode::bookingKeyForm.
 absl::StatusOr<BookingKey> parseBookingKey(std::string_view text);
 
-// For callers and tests.
+// Returns a new caller key. Used by callers and tests.
 std::string makeCallerKey(WallTime createdAt, Random &random);
 
-// How far clocks of callers and instances may differ. Claims are kept this much longer than keys
-// are accepted, on both sides.
+// Largest difference between the clocks of callers and instances. A key is accepted up to this long
+// before its creation time, and claims are kept for twice as long after it has expired.
 constexpr Duration clockTolerance = std::chrono::minutes(5);
 
-// True while a key that was created then may still start a booking.
+// Returns true while the key may start a booking.
 bool isKeyAccepted(const CallerKey &key, WallTime now, Duration keyLifetime);
 
-// The store key of the page that holds a claim: one set of pages per hour of birth, so that whole
-// pages are dropped once no key of that hour can be accepted.
+// Returns the store key of the page that holds the claim. Each hour of key creation has its own set
+// of pages, so that whole pages can be removed once no key of that hour is accepted any more.
 std::string claimPageName(const CallerKey &key, std::string_view claimId, int shards);
 
 std::string claimPageNameFor(long long hour, int shard);
 
-// The latest hour whose pages may be removed: none of its keys is accepted any more on any clock.
+// Returns the latest hour whose pages may be removed: no instance accepts its keys any more,
+// whatever its clock says within the tolerance.
 long long newestExpiredHour(WallTime now, Duration keyLifetime);
 
-// Names a claim; the customer is part of it, so that no customer can meet another's key.
+// Returns the name of a claim. It includes the customer, so that equal keys of two customers are
+// separate bookings.
 std::string claimId(std::string_view customer, std::string_view key);
 
 enum class ClaimState { claimed, done, notRun };
 
 struct Claim
 {
-    std::uint64_t attempt = 0; // one attempt's unique number
+    std::uint64_t attempt = 0; // unique number of the attempt that holds the claim
     std::string bodyHash;
     ClaimState state = ClaimState::claimed;
-    int httpStatus = 0; // of the backend server's answer, once done
+    int httpStatus = 0; // of the backend server's response, once `done`
     bool operator==(const Claim &) const = default;
 };
 
@@ -79,20 +81,19 @@
 std::string serializeClaimPage(const ClaimPage &page);
 absl::StatusOr<ClaimPage> parseClaimPage(std::string_view text);
 
-// The store takes values up to a megabyte; a page stops taking new claims before that, with room
-// left for the outcomes of those it holds.
+// The store accepts values of up to 1 MB. A page accepts no new claims beyond this size, which
+// leaves room to record the outcomes of its claims.
 constexpr std::size_t maxClaimPageBytes = 900'000;
 
 // ---- The writer of one page ---------------------------------------------------------------------
 
-// What became of a claim.
 enum class ClaimOutcome {
-    granted, // this attempt alone may send, once
+    granted, // only this attempt may send the request, once
     alreadyDone,
-    unknown, // another attempt claimed and left no outcome
-    bodyMismatch,
+    unknown, // another attempt holds the claim and has recorded no outcome
+    bodyMismatch, // the key was used with another request body
     pageFull,
-    storeUnreachable, // nothing was sent and nothing will be
+    storeUnreachable, // this attempt has not sent the request and never will
 };
 
 struct ClaimResult
@@ -112,7 +113,7 @@
 struct WritePage
 {
     std::uint64_t call = 0;
-    std::uint64_t expectedIndex = 0; // 0: the page must not exist
+    std::uint64_t expectedIndex = 0; // for compare-and-swap; 0 if the page must not exist
     std::string value;
     bool operator==(const WritePage &) const = default;
 };
@@ -122,29 +123,30 @@
 enum class PageWriteResult { applied, conflict, notApplied, unknown };
 
 // Decides the store calls for one claim page on one instance. Claims and outcomes that arrive while
-// a call is under way go together into the next write. Does no I/O; not thread safe.
+// a call is pending are combined into the next write. Does no I/O; not thread safe.
 class ClaimPageWriter
 {
 public:
     struct Request
     {
-        std::uint64_t attempt = 0; // unique number of this attempt, drawn at random
+        std::uint64_t attempt = 0; // unique random number of this attempt
         std::string claimId;
         std::string bodyHash;
         TimePoint deadline;
     };
 
     void claim(Request request);
-    // Records what became of a granted attempt. Kept and tried again until the store takes it.
+    // Records the outcome of a granted attempt, and retries until it is stored.
     void recordOutcome(std::uint64_t attempt, const std::string &claimId, ClaimState state,
                        int httpStatus);
 
-    // Events. A read of a page that does not exist carries index 0 and an empty page.
+    // Called with the result of a store call. A page that does not exist is read as an empty page
+    // with index 0.
     void onRead(std::uint64_t call, std::uint64_t index, const ClaimPage &page);
     void onReadFailed(std::uint64_t call, TimePoint now);
     void onWritten(std::uint64_t call, PageWriteResult end, std::uint64_t newIndex, TimePoint now);
 
-    // Gives up what is overdue and starts the next call if one is due.
+    // Ends overdue claims and returns the next store call, if any, and the results of claims.
     std::vector<ClaimAction> advance(TimePoint now);
 
     bool isIdle() const { return m_claims.empty() && m_pendingOutcomes.empty() && !m_call; }
@@ -170,11 +172,11 @@
 
     std::deque<Request> m_claims;
     std::deque<PendingOutcome> m_pendingOutcomes;
-    bool m_pageKnown = false; // m_page is what the store held at m_index
+    bool m_pageKnown = false; // whether m_page is the content of the store at m_index
     std::uint64_t m_index = 0;
     ClaimPage m_page;
     std::size_t m_pageBytes = 0;
-    ClaimPage m_pageBeingWritten; // what the write under way would make of the page
+    ClaimPage m_pageBeingWritten; // content of the page once the pending write is applied
     std::optional<std::uint64_t> m_call;
     std::uint64_t m_nextCall = 1;
     TimePoint m_nextCallAt{};
@@ -183,16 +185,17 @@
 // ---- Keys issued by this instance ---------------------------------------------------------------
 
 enum class IssuedKeyUse {
-    send, // first use: send now
-    repeat, // ran before: repeat its answer
+    send, // first use: send the request
+    repeat, // the booking is done: return its recorded response
     inProgress,
-    unknown, // was sent, and its outcome is not known
-    bodyMismatch,
+    unknown, // the request was sent and its outcome is not known
+    bodyMismatch, // the key was used with another request body
     otherIssuer, // issued by another instance
-    issuerGone, // issued by an earlier incarnation, or forgotten
+    issuerGone, // issued by an earlier incarnation of this instance, or expired
 };
 
-// Keys this incarnation issued, from memory only: works without the store. Not thread safe.
+// Keys issued by this incarnation of the instance. Kept in memory only, so that bookings with
+// issued keys need no store. Not thread safe.
 class IssuedKeys
 {
 public:
@@ -204,7 +207,7 @@
 
     IssuedKeys(std::string instance, std::uint64_t incarnation, Limits limits);
 
-    // Empty when too many keys are out.
+    // Returns a new key, or nothing if `maxKeys` unexpired keys have been issued.
     std::optional<std::string> issue(const std::string &customer, TimePoint now, Random &random);
 
     struct Decision
@@ -217,7 +220,8 @@
     Decision begin(const IssuedKey &key, const std::string &customer, const std::string &bodyHash,
                    TimePoint now);
 
-    // After a send: done with an answer, not run (the key may be used again), or neither.
+    // Called after the request has been sent: with its response, if it certainly did not run (the
+    // key may then be used again), or if its outcome is unknown.
     void finishDone(const std::string &key, int httpStatus, std::string answer);
     void finishNotRun(const std::string &key);
     void finishUnknown(const std::string &key);
--- a/src/decide/booking.cc
+++ b/src/decide/booking.cc
@@ -34,8 +34,8 @@
     if (text.size() != uuidLength)
         return false;
     for (std::size_t i = 0; i < text.size(); ++i) {
-        const bool dash = i == 8 || i == 13 || i == 18 || i == 23;
-        if (dash ? text[i] != '-' : !std::isxdigit(static_cast<unsigned char>(text[i])))
+        const bool isDash = i == 8 || i == 13 || i == 18 || i == 23;
+        if (isDash ? text[i] != '-' : !std::isxdigit(static_cast<unsigned char>(text[i])))
             return false;
     }
     return true;
@@ -51,7 +51,7 @@
     const auto milliseconds = parseHex(digits);
     if (!milliseconds)
         return std::nullopt;
-    // Upper and lower case name the same UUID, and must not be two bookings.
+    // A UUID in upper case equals the same UUID in lower case and must not be a second booking.
     std::string lower(text);
     std::transform(lower.begin(), lower.end(), lower.begin(),
                    [](unsigned char c) { return static_cast<char>(std::tolower(c)); });
@@ -219,9 +219,9 @@
         backOff(now);
         return;
     case PageWriteResult::unknown:
-        // The write may have taken effect although its answer was lost, or may do so later. Only
-        // the page itself tells: it is read back, and the attempt's number decides. A write that
-        // lands later than the read fails our next compare-and-swap, which leads back here.
+        // The write may have been applied although its response was lost, or may be applied later.
+        // The page is read back, and the attempt number on it decides. If the write is applied
+        // after that read, the next compare-and-swap fails and the page is read again.
         m_pageKnown = false;
         backOff(now);
         return;
@@ -283,8 +283,9 @@
             continue;
         }
         actions.emplace_back(ClaimResult{request.attempt, ClaimOutcome::storeUnreachable, 0});
-        // A write of this claim may still land. The attempt is over and never sends, so saying so
-        // on the page lets the caller use the key again instead of hearing "unknown" for a day.
+        // A pending write of this claim may still be applied. The attempt has ended and never
+        // sends, so it is recorded as not run; otherwise the key would be answered with "outcome
+        // unknown" for a day.
         m_pendingOutcomes.push_back({request.attempt, request.claimId, ClaimState::notRun, 0});
     }
     m_claims = std::move(open);
@@ -319,9 +320,9 @@
     std::deque<PendingOutcome> open;
     for (PendingOutcome &outcome : m_pendingOutcomes) {
         const auto found = m_page.find(outcome.claimId);
-        const bool waiting = found != m_page.end() && found->second.attempt == outcome.attempt
+        const bool isUnrecorded = found != m_page.end() && found->second.attempt == outcome.attempt
             && found->second.state == ClaimState::claimed;
-        if (waiting)
+        if (isUnrecorded)
             open.push_back(std::move(outcome));
     }
     m_pendingOutcomes = std::move(open);
@@ -338,7 +339,7 @@
     bool changed = applyOutcomes(m_pageBeingWritten);
     std::deque<Request> open;
     for (Request &request : m_claims) {
-        // Two requests with one key in one batch: the first claims, the second meets the claim.
+        // Of two requests with the same key in one batch, the first one claims the key.
         if (m_pageBeingWritten.count(request.claimId) > 0
             && m_pageBeingWritten[request.claimId].state != ClaimState::notRun) {
             open.push_back(std::move(request));
@@ -382,7 +383,8 @@
 {
     while (!m_issueOrder.empty() && m_issueOrder.front().first + m_limits.lifetime <= now) {
         const auto found = m_keys.find(m_issueOrder.front().second);
-        // A send that is under way keeps its entry: it still has an outcome to record.
+        // The entry of a request that is being sent is kept, as its outcome is still to be
+        // recorded.
         if (found != m_keys.end() && found->second.state == State::sending) {
             m_issueOrder.emplace_back(now, m_issueOrder.front().second);
             m_issueOrder.pop_front();
--- a/test/booking-test.cc
+++ b/test/booking-test.cc
@@ -13,11 +13,11 @@
 
 namespace {
 
-// A store whose writes can be refused, lose their answer, take effect late, or never.
+// A store whose writes can be rejected, lose their response, be applied late or never.
 class FakeStore
 {
 public:
-    enum class Fault { none, refused, lostAnswer, late, lostWrite };
+    enum class Fault { none, rejected, lostResponse, late, lostWrite };
 
     struct Page
     {
@@ -28,27 +28,27 @@
     PageWriteResult write(const std::string &name, const WritePage &action, Fault fault,
                           std::uint64_t &newIndex)
     {
-        if (fault == Fault::refused)
+        if (fault == Fault::rejected)
             return PageWriteResult::notApplied;
         if (fault == Fault::lostWrite)
             return PageWriteResult::unknown;
         if (fault == Fault::late) {
-            m_late.emplace_back(name, action);
+            m_lateWrites.emplace_back(name, action);
             return PageWriteResult::unknown;
         }
         const bool applied = apply(name, action);
         newIndex = m_pages[name].index;
-        if (fault == Fault::lostAnswer)
+        if (fault == Fault::lostResponse)
             return PageWriteResult::unknown;
         return applied ? PageWriteResult::applied : PageWriteResult::conflict;
     }
 
-    void applyOneLate()
+    void applyOneLateWrite()
     {
-        if (m_late.empty())
+        if (m_lateWrites.empty())
             return;
-        apply(m_late.front().first, m_late.front().second);
-        m_late.erase(m_late.begin());
+        apply(m_lateWrites.front().first, m_lateWrites.front().second);
+        m_lateWrites.erase(m_lateWrites.begin());
     }
 
     const Page &page(const std::string &name) { return m_pages[name]; }
@@ -65,17 +65,17 @@
     }
 
     std::map<std::string, Page> m_pages;
-    std::vector<std::pair<std::string, WritePage>> m_late;
+    std::vector<std::pair<std::string, WritePage>> m_lateWrites;
     std::uint64_t m_index = 0;
 };
 
-// Several entry instances that claim and send bookings through one page, under faults.
+// Entry instances that claim and send bookings through one claim page while the store fails.
 class BookingFleet
 {
 public:
     explicit BookingFleet(std::size_t instances) : m_writers(instances) { }
 
-    // A caller sends a key through an instance.
+    // A caller sends a booking with this key to an instance.
     void request(std::size_t instance, const std::string &key, const std::string &body,
                  bool outcomeKnown, bool connects)
     {
@@ -84,13 +84,14 @@
         m_writers[instance].claim({attempt, key, body, m_now + 3s});
     }
 
-    // One round of decisions; a held round starts a store call and leaves its answer for later.
+    // Runs the pending actions of an instance. With `hold`, the response of the store call that it
+    // starts is delivered by the next step.
     void step(std::size_t instance, FakeStore::Fault fault, bool hold)
     {
-        if (m_held.count(instance) > 0) {
-            auto answer = std::move(m_held[instance]);
-            m_held.erase(instance);
-            answer();
+        if (m_heldResponses.count(instance) > 0) {
+            auto response = std::move(m_heldResponses[instance]);
+            m_heldResponses.erase(instance);
+            response();
         }
         for (int round = 0; round < 4; ++round) {
             const auto actions = m_writers[instance].advance(m_now);
@@ -98,26 +99,26 @@
                 return;
             for (const ClaimAction &action : actions)
                 act(instance, action, fault, hold);
-            if (m_held.count(instance) > 0)
+            if (m_heldResponses.count(instance) > 0)
                 return;
         }
     }
 
-    // The process dies; what it sent stays sent, and a new one starts empty.
-    void kill(std::size_t instance)
+    // Restarts an instance without its state; calls that it has sent remain in effect.
+    void restart(std::size_t instance)
     {
-        m_held.erase(instance);
+        m_heldResponses.erase(instance);
         m_writers[instance] = ClaimPageWriter();
     }
 
     void advance(Duration by) { m_now += by; }
     FakeStore &store() { return m_store; }
     const std::map<std::string, int> &sends() const { return m_sends; }
-    const std::set<std::uint64_t> &refusedAttempts() const { return m_refused; }
-    const std::set<std::uint64_t> &sentAttempts() const { return m_sentBy; }
+    const std::set<std::uint64_t> &rejectedAttempts() const { return m_rejected; }
+    const std::set<std::uint64_t> &sentAttempts() const { return m_sentAttempts; }
     int granted() const { return m_granted; }
 
-    void settleAll()
+    void runUntilSettled()
     {
         for (int round = 0; round < 40; ++round) {
             advance(250ms);
@@ -138,15 +139,15 @@
     {
         if (const auto *result = std::get_if<ClaimResult>(&action))
             return onResult(instance, *result);
-        std::function<void()> answer;
+        std::function<void()> response;
         if (const auto *read = std::get_if<ReadPage>(&action)) {
-            if (fault == FakeStore::Fault::refused) {
-                answer = [this, instance, call = read->call] {
+            if (fault == FakeStore::Fault::rejected) {
+                response = [this, instance, call = read->call] {
                     m_writers[instance].onReadFailed(call, m_now);
                 };
             } else {
-                // The page as it is now; a held answer is an old one by the time it arrives.
-                answer = [this, instance, call = read->call, page = m_store.page("page")] {
+                // Captures the current page, so that a held response may be out of date.
+                response = [this, instance, call = read->call, page = m_store.page("page")] {
                     m_writers[instance].onRead(call, page.index, page.claims);
                 };
             }
@@ -154,21 +155,21 @@
             const auto &write = std::get<WritePage>(action);
             std::uint64_t index = 0;
             const PageWriteResult end = m_store.write("page", write, fault, index);
-            answer = [this, instance, call = write.call, end, index] {
+            response = [this, instance, call = write.call, end, index] {
                 m_writers[instance].onWritten(call, end, index, m_now);
             };
         }
         if (hold)
-            m_held[instance] = std::move(answer);
+            m_heldResponses[instance] = std::move(response);
         else
-            answer();
+            response();
     }
 
     void onResult(std::size_t instance, const ClaimResult &result)
     {
         const Plan &plan = m_plans[result.attempt];
         if (result.outcome != ClaimOutcome::granted) {
-            m_refused.insert(result.attempt);
+            m_rejected.insert(result.attempt);
             return;
         }
         ++m_granted;
@@ -177,7 +178,7 @@
             return;
         }
         ++m_sends[plan.key];
-        m_sentBy.insert(result.attempt);
+        m_sentAttempts.insert(result.attempt);
         if (plan.outcomeKnown)
             m_writers[instance].recordOutcome(result.attempt, plan.key, ClaimState::done, 200);
     }
@@ -185,20 +186,20 @@
     TimePoint m_now{};
     FakeStore m_store;
     std::vector<ClaimPageWriter> m_writers;
-    std::map<std::size_t, std::function<void()>> m_held;
+    std::map<std::size_t, std::function<void()>> m_heldResponses;
     std::map<std::uint64_t, Plan> m_plans;
     std::map<std::string, int> m_sends;
-    std::set<std::uint64_t> m_refused;
-    std::set<std::uint64_t> m_sentBy;
+    std::set<std::uint64_t> m_rejected;
+    std::set<std::uint64_t> m_sentAttempts;
     std::uint64_t m_attempts = 0;
     int m_granted = 0;
 };
 
-FakeStore::Fault anyFault()
+FakeStore::Fault randomFault()
 {
     return *rc::gen::weightedElement<FakeStore::Fault>({{5, FakeStore::Fault::none},
-                                                        {2, FakeStore::Fault::refused},
-                                                        {3, FakeStore::Fault::lostAnswer},
+                                                        {2, FakeStore::Fault::rejected},
+                                                        {3, FakeStore::Fault::lostResponse},
                                                         {3, FakeStore::Fault::late},
                                                         {1, FakeStore::Fault::lostWrite}});
 }
@@ -215,25 +216,24 @@
                       *rc::gen::weightedElement<bool>({{4, true}, {1, false}}));
         break;
     case 2:
-        fleet.kill(instance);
+        fleet.restart(instance);
         break;
     case 3:
-        fleet.store().applyOneLate();
+        fleet.store().applyOneLateWrite();
         break;
     case 4:
         fleet.advance(std::chrono::milliseconds(*rc::gen::inRange(0, 4000)));
         break;
     default:
-        fleet.step(instance, anyFault(), *rc::gen::arbitrary<bool>());
+        fleet.step(instance, randomFault(), *rc::gen::arbitrary<bool>());
     }
 }
 
 } // namespace
 
-// What the caller sees: one booking, and now and then "outcome unknown". In what order: instances
-// race for a key, the store loses answers, applies writes late or refuses, holders are paused or
-// killed between any two steps, callers send again through other instances. Why: only the attempt
-// whose number is found on the page may send, and each number is given one attempt.
+// Guards against sending a booking twice when instances race for a key, the store loses responses,
+// applies writes late or rejects them, and instances stall or restart between any two steps. Only
+// the attempt whose number is read back from the page may send.
 TEST_CASE("claims_underAnyInterleavingOfFaults_sendEachKeyAtMostOnce")
 {
     rc::prop("at most one send a key", [] {
@@ -242,57 +242,56 @@
         const int steps = *rc::gen::inRange(5, 60);
         for (int i = 0; i < steps; ++i)
             randomStep(fleet, instances);
-        fleet.settleAll();
+        fleet.runUntilSettled();
         for (const auto &[key, count] : fleet.sends())
             RC_ASSERT(count <= 1);
-        // A refusal that says "not run" is true of the attempt that it answers.
-        for (const std::uint64_t attempt : fleet.refusedAttempts())
+        // An attempt that was rejected as not run has not been sent.
+        for (const std::uint64_t attempt : fleet.rejectedAttempts())
             RC_ASSERT(fleet.sentAttempts().count(attempt) == 0);
     });
 }
 
-TEST_CASE("claims_withoutFaults_areGrantedThenRepeated")
+TEST_CASE("claims_withoutFaults_areGrantedOnce")
 {
     BookingFleet fleet(2);
     fleet.request(0, "k1", "body", true, true);
-    fleet.settleAll();
+    fleet.runUntilSettled();
     CHECK(fleet.sends().at("k1") == 1);
     CHECK(fleet.store().page("page").claims.at("k1").state == ClaimState::done);
     fleet.request(1, "k1", "body", true, true);
-    fleet.settleAll();
+    fleet.runUntilSettled();
     CHECK(fleet.sends().at("k1") == 1);
     CHECK(fleet.granted() == 1);
 }
 
-// What the caller sees: "not run", then success with the same key. In what order: the claim is
-// granted, the backend server cannot be reached, the caller tries again through another instance.
-// Why: the holder says on the page that it will not send, so the key is free again.
-TEST_CASE("claims_afterCertainNotRun_mayBeTakenAgain")
+// Guards against a key that stays blocked after its backend server could not be reached. The
+// instance that held the claim records that the request did not run, and the key may be used again.
+TEST_CASE("claims_afterCertainNotRun_mayBeAcquiredAgain")
 {
     BookingFleet fleet(2);
     fleet.request(0, "k1", "body", true, false);
-    fleet.settleAll();
+    fleet.runUntilSettled();
     CHECK(fleet.sends().empty());
     fleet.request(1, "k1", "body", true, true);
-    fleet.settleAll();
+    fleet.runUntilSettled();
     CHECK(fleet.sends().at("k1") == 1);
 }
 
-TEST_CASE("claims_storeDownForAnHour_refuseAndNeverSend")
+TEST_CASE("claims_storeDownForAnHour_areRejectedAndNeverSent")
 {
     BookingFleet fleet(1);
     for (int minute = 0; minute < 60; ++minute) {
         fleet.request(0, "k" + std::to_string(minute), "body", true, true);
         for (int i = 0; i < 4; ++i) {
-            fleet.step(0, FakeStore::Fault::refused, false);
+            fleet.step(0, FakeStore::Fault::rejected, false);
             fleet.advance(15s);
         }
     }
     CHECK(fleet.sends().empty());
-    CHECK(fleet.refusedAttempts().size() == 60);
+    CHECK(fleet.rejectedAttempts().size() == 60);
 }
 
-TEST_CASE("claimPage_whenFull_refusesNewClaimsAndKeepsOldOnes")
+TEST_CASE("claimPage_whenFull_rejectsNewClaimsAndKeepsOldOnes")
 {
     ClaimPageWriter writer;
     ClaimPage full;
@@ -310,28 +309,27 @@
     CHECK(serializeClaimPage(full).size() < 1U << 20);
 }
 
-// What the caller sees: the key is refused as too old, whichever instance it asks. In what order:
-// the page of its hour is dropped, then a late copy of the request arrives. Why: keys are accepted
-// for less time than pages are kept, by more than clocks may differ.
-TEST_CASE("keyAccepted_afterItsPageWasDropped_isFalseOnEveryClock")
+// Guards against a second booking by a late copy of a request whose claim page has been removed.
+// Pages are kept longer than keys are accepted, by more than clocks may differ.
+TEST_CASE("isKeyAccepted_afterItsPageWasRemoved_isFalseOnEveryClock")
 {
-    rc::prop("no instance accepts a key whose page may be gone", [] {
+    rc::prop("no instance accepts a key whose page may have been removed", [] {
         const WallTime createdAt(std::chrono::milliseconds(*rc::gen::inRange(0, 1'000'000'000)));
         const Duration life = 24h;
         const auto skew = std::chrono::milliseconds(
             *rc::gen::inRange<long>(-clockTolerance / 1ms, clockTolerance / 1ms + 1));
         const CallerKey key{"k", createdAt};
-        // The moment at which the sweeper, by its clock, first removes the page of this hour.
+        // The time at which an instance first removes the pages of this hour, by its own clock.
         const auto hour
             = std::chrono::floor<std::chrono::hours>(createdAt.time_since_epoch()).count();
-        const auto dropped = WallTime(std::chrono::hours(hour + 1)) + life + 2 * clockTolerance;
-        RC_ASSERT(newestExpiredHour(dropped - 1us, life) < hour);
-        RC_ASSERT(newestExpiredHour(dropped, life) == hour);
-        RC_ASSERT(!isKeyAccepted(key, dropped + skew, life));
+        const auto removedAt = WallTime(std::chrono::hours(hour + 1)) + life + 2 * clockTolerance;
+        RC_ASSERT(newestExpiredHour(removedAt - 1us, life) < hour);
+        RC_ASSERT(newestExpiredHour(removedAt, life) == hour);
+        RC_ASSERT(!isKeyAccepted(key, removedAt + skew, life));
     });
 }
 
-TEST_CASE("parseBookingKey_ofMadeKeys_givesTheTimeBack")
+TEST_CASE("parseBookingKey_ofMadeKeys_returnsTheCreationTime")
 {
     rc::prop("round trip", [](std::uint64_t seed) {
         Random random(seed);
@@ -342,7 +340,7 @@
     });
 }
 
-TEST_CASE("parseBookingKey_ofOtherForms_isRefused")
+TEST_CASE("parseBookingKey_ofOtherFormats_fails")
 {
     for (const char *text : {"", "42", "0190163d-8694-4000-8000-000000000000", "ib1.a.b",
                              "ib1..1.2", "ib1.a.zz.1", "0190163d-8694-7000-1000-000000000000"})
@@ -352,9 +350,8 @@
     CHECK(*upper == *lower);
 }
 
-// What the caller sees: one booking; later sends hear its answer, "in progress" or "unknown". In
-// what order: the same key is sent again at any moment of the first send, by other customers, with
-// other bodies, and after the issuer restarted. Why: an incarnation leaves "unused" once.
+// Guards against sending a booking twice when its issued key is used again at any time during the
+// first request, by other customers, or after the issuer restarted.
 TEST_CASE("issuedKeys_underAnyUse_sendEachKeyAtMostOnce")
 {
     rc::prop("at most one send that may have run", [](std::uint64_t seed) {
@@ -402,7 +399,7 @@
     });
 }
 
-TEST_CASE("issuedKeys_sentAgain_repeatTheAnswer")
+TEST_CASE("issuedKeys_sentAgain_repeatTheResponse")
 {
     Random random(1);
     IssuedKeys keys("a", 7, {});
