--- a/include/ibisnotch/usage-cap.h
+++ b/include/ibisnotch/usage-cap.h
@@ -1,5 +1,5 @@
-// Usage caps of customers over all instances: what each customer asks for and is given, and whether
-// one more request fits.
+// Usage caps of customers across all instances: how much each customer requests and consumes, and
+// whether one more request fits into its cap.
 #pragma once
 
 #include <cstdint>
@@ -15,13 +15,14 @@
 
 namespace ibisnotch {
 
-// One customer's use by an instance or a region, in the units of its cap. Rates are averages over
-// the last second or so, so a message that is lost, repeated or overtaken does no lasting harm.
+// Usage of one customer at an instance or in a region, in the units of its cap. The rates are
+// averages over about the last second, so that messages which are lost, duplicated or reordered
+// have no lasting effect.
 struct CustomerUsage
 {
     std::uint32_t customer = 0; // customerId of its name
     float requested = 0; // per second
-    float consumed = 0; // per second, of what was requested
+    float consumed = 0; // per second; part of `requested`
 
     template <typename Archive> void serialize(Archive &archive)
     {
@@ -33,7 +34,7 @@
 struct RegionUsage
 {
     std::string region;
-    std::uint32_t ageMs = 0; // when sent
+    std::uint32_t ageMs = 0; // age of the data when the message is sent
     std::vector<CustomerUsage> customers;
 
     template <typename Archive> void serialize(Archive &archive)
@@ -48,101 +49,103 @@
 struct UsageDecision
 {
     bool fits = true;
-    Duration retryAfter{}; // until the cap has room, if it does not fit
-    // What decided, for the log.
-    double requested = 0; // per second, by all instances
-    double limit = 0; // per second, of what is given now
-    double level = 0; // available of the burst; below zero: overdrawn
-    std::optional<Duration>
-        regionUsageAge; // of the region's sums; none: this instance is on its own
+    Duration retryAfter{}; // expected time until the request fits, if it does not
+    // Values that led to the decision, for the log:
+    double requested = 0; // per second, at all instances
+    double limit = 0; // per second, currently admitted
+    double level = 0; // unused part of the burst; negative if overdrawn
+    // Age of the usage totals of the own region; empty if this instance decided from its own share.
+    std::optional<Duration> regionUsageAge;
     bool operator==(const UsageDecision &) const = default;
 };
 
-// Where an instance stands among those that share the caps.
+// The regions and instances that share the caps.
 struct UsageScope
 {
-    std::string region;
-    std::vector<std::string> regions; // of the deployment, this one included
-    std::size_t instanceCount = 1; // of the region that may be taking requests
+    std::string region; // of this instance
+    std::vector<std::string> regions; // all of the deployment, including `region`
+    std::size_t instanceCount = 1; // instances of `region` that may be accepting requests
     bool operator==(const UsageScope &) const = default;
 };
 
-// While an instance hears from all regions, each request has the same chance everywhere: the part
-// of what all admit for that the cap leaves room for. So nobody is refused below the cap, however
-// uneven the callers spread. Of a region that is not heard a part of each cap is available to it,
-// and an instance that hears nobody keeps to its own part: whichever cannot see each other stay
-// within the cap together. Thread safe.
+// While an instance receives usage totals of all regions, it admits each request with the same
+// probability as any other instance: the cap divided by the total requested rate. So no request is
+// rejected below the cap, however unevenly callers are distributed. A share of each cap is reserved
+// for every region whose totals do not arrive, and an instance that receives none stays within its
+// own share, so that the sides of a network partition together stay within the cap. Thread safe.
 class UsageCaps
 {
 public:
     struct Limits
     {
-        Duration rateTimeConstant = std::chrono::milliseconds(500); // time constant of rates
-        Duration usageFreshFor
-            = std::chrono::milliseconds(400); // from here on sums count ever less
-        // Older sums no longer count. Four times the period in which they are reported, so that
-        // three in a row may be lost; until it is over, both sides of a cut use the fleet.
+        Duration rateTimeConstant = std::chrono::milliseconds(500);
+        // Up to this age totals have full weight; the weight then falls to zero at `usageMaxAge`.
+        Duration usageFreshFor = std::chrono::milliseconds(400);
+        // Four times the reporting interval, so that three reports in a row may be lost. Until this
+        // age, both sides of a partition use the whole cap.
         Duration usageMaxAge = std::chrono::seconds(1);
-        // In which what is available of the burst is given out, or an overdraft consumed back. News
-        // takes up to half of that.
+        // Time over which the unused burst is granted or an overdraft is compensated. Updates from
+        // other regions take up to half of it.
         Duration levelCorrectionTime = std::chrono::seconds(1);
-        // An instance that has just started does not know yet how many others there are.
+        // For this time after its start an instance does not know the number of other instances and
+        // assumes at least `minInstancesAtStartup`.
         Duration startupTime = std::chrono::seconds(2);
         std::size_t minInstancesAtStartup = 64;
-        double slack = 0; // units over any cap that the platform tolerates, beside its burst
-        double maxOverdraftSeconds = 2; // overdraft that is remembered, in seconds of the cap
+        double slack = 0; // units above cap and burst that the platform tolerates
+        double maxOverdraftSeconds = 2; // largest overdraft kept, in seconds of the cap
     };
 
     UsageCaps() : UsageCaps(Limits{}) { }
     explicit UsageCaps(Limits limits) : m_limits(limits) { }
 
-    // The caps in force. A level above a lowered burst is cut to it.
+    // Sets the caps in force. Reduces levels that exceed a lowered burst.
     void setCaps(const std::map<std::string, Customer> &customers);
     void setScope(UsageScope scope, TimePoint now);
 
-    // Whether a request of this amount fits; counts it if so. `draw` is a random number in [0, 1).
+    // Decides whether a request of this amount fits, and counts it if so. `draw` is a random number
+    // in [0, 1).
     UsageDecision admit(const Customer &customer, double amount, double draw, TimePoint now);
-    // A request that was counted has not run.
+    // Called for an admitted request that did not run: no longer counts it as consumed.
     void release(const std::string &customer, double amount, TimePoint now);
 
-    // Several times a second: settles levels.
+    // Updates the levels; must be called several times per second.
     void tick(TimePoint now);
 
-    // What this instance tells the one that sums up its region, and what that one heard.
+    // Returns the usage that this instance reports to the instance which aggregates its region.
     std::vector<CustomerUsage> localUsage(TimePoint now);
     void onInstanceUsage(const std::string &instance, std::vector<CustomerUsage> usages,
                          TimePoint now);
-    // The sums of the region, by the instance that makes them.
+    // Returns the totals of the region. Called at the instance that aggregates them.
     RegionUsage aggregateRegion(TimePoint now);
-    void onRegionUsage(const RegionUsage &use, TimePoint now);
-    // The sums of all regions that still count.
+    void onRegionUsage(const RegionUsage &usage, TimePoint now);
+    // Returns the totals of all regions that are not older than `usageMaxAge`.
     std::vector<RegionUsage> regionUsages(TimePoint now);
 
-    // Whether any customer has a cap.
+    // Returns true if any customer has a cap.
     bool hasCaps();
-    // Whether some customer is near its cap, so that news must not wait.
+    // Returns true if a customer is near its cap, so that usage must be reported without delay.
     bool isNearAnyCap(TimePoint now);
 
     struct CustomerState
     {
         std::string name;
         UsageCap cap;
-        double requested = 0; // per second, by all instances that are heard
-        double consumed = 0;
+        double requested = 0; // per second, in all regions whose totals are known
+        double consumed = 0; // likewise
         double level = 0;
         bool operator==(const CustomerState &) const = default;
     };
     std::vector<CustomerState> states(TimePoint now);
 
 private:
-    // An exponentially weighted average, in units a second.
+    // An exponentially weighted moving average, in units per second.
     struct Rate
     {
         double perSecond = 0;
         TimePoint at{};
 
-        void add(double amount, Duration rateTimeConstant, TimePoint now);
-        double value(Duration rateTimeConstant, TimePoint now) const;
+        void add(double amount, Duration timeConstant, TimePoint now);
+        double value(Duration timeConstant, TimePoint now) const;
     };
 
     struct RegionTotal
@@ -156,14 +159,15 @@
     {
         std::string name;
         UsageCap cap;
-        Rate requests; // here, whatever they count
-        Rate requested; // here
-        Rate admitted; // here, by the cap
-        Rate consumed; // here; of what admitted, what was not refused for other reasons
+        // At this instance:
+        Rate requestCount; // requests per second, whatever their amounts
+        Rate requested;
+        Rate admitted; // fits into the cap
+        Rate consumed; // admitted and not rejected for another reason
         std::map<std::string, RegionTotal> regions; // by name
-        double level = 0;
+        double level = 0; // unused part of the burst; negative if overdrawn
         TimePoint levelAt{};
-        double localLevel = 0; // while this instance is on its own
+        double localLevel = 0; // the same for this instance's own share
         TimePoint localLevelAt{};
     };
 
@@ -173,18 +177,18 @@
         TimePoint at{};
     };
 
-    // What is known of all instances together.
+    // Usage in all regions whose totals are known.
     struct FleetUsage
     {
-        double requested = 0; // by those that are heard
+        double requested = 0;
         double consumed = 0;
-        double available = 0; // of the cap, for those that are heard
-        std::optional<TimePoint> localRegionAt; // when the own region was summed up
+        double available = 0; // part of the cap that is not reserved for other regions
+        std::optional<TimePoint> localRegionAt; // time of the totals of the own region
     };
 
     double rateOf(const Rate &rate, TimePoint now) const;
     Account *find(const std::string &customer);
-    double weightOf(const RegionTotal &sum, TimePoint now) const;
+    double weightOf(const RegionTotal &total, TimePoint now) const;
     double regionShare() const;
     double grantableBurst(const UsageCap &cap) const;
     double executedShare(const Account &account, TimePoint now) const;
@@ -204,7 +208,7 @@
     UsageScope m_scope;
     std::optional<TimePoint> m_startedAt;
     std::map<std::uint32_t, Account> m_accounts; // of customers with a cap, by customerId
-    std::map<std::string, InstanceUsage> m_instances; // of the region
+    std::map<std::string, InstanceUsage> m_instances; // of the own region, by name
 };
 
 } // namespace ibisnotch
--- a/src/decide/usage-cap.cc
+++ b/src/decide/usage-cap.cc
@@ -9,23 +9,25 @@
 
 namespace {
 
-// Of the cap; from here on news of its use must not wait.
+// Share of the cap above which usage is reported without delay.
 constexpr double nearCapShare = 0.8;
-// Of the burst. The rest of it, and what the platform tolerates over a cap, is given out before
-// news of a customer's first burst arrives, and by both sides of a cut until they notice it.
+// Share of the burst that is granted when all regions are known. The rest, and the slack that the
+// platform tolerates, covers what is admitted before updates about a customer's first burst arrive,
+// and by both sides of a partition until they detect it.
 constexpr double grantableBurstShare = 0.2;
-// Of the slack; the rest is for requests that meet while nobody knows of the others'.
+// Share of the slack that is granted. The rest covers requests that several instances admit at the
+// same time without knowing of each other.
 constexpr double grantableSlackShare = 0.15;
-// Of the part of a region that has not been heard since this instance started. After the loss of
-// all it takes a second or two until the regions know each other again, and what nobody gave out
-// while all were away makes up for it.
+// Part of a region's share that is reserved for it if no totals of it arrived since this instance
+// started. After a restart of all instances, the regions know each other only after a second or
+// two; the part of the cap that was not used while all were down makes up for the lower reserve.
 constexpr double startupReserveShare = 0.5;
-// Of the cap, in seconds of it, kept by an instance on its own for a caller's first requests.
+// Burst of an instance that decides from its own share, in seconds of that share.
 constexpr double localBurstSeconds = 1;
 
-double decay(double value, Duration age, Duration rateTimeConstant)
+double decay(double value, Duration age, Duration timeConstant)
 {
-    return value * std::exp(-seconds(age) / seconds(rateTimeConstant));
+    return value * std::exp(-seconds(age) / seconds(timeConstant));
 }
 
 Duration toDuration(double time)
@@ -40,19 +42,19 @@
     return static_cast<std::uint32_t>(hash64(name));
 }
 
-void UsageCaps::Rate::add(double amount, Duration rateTimeConstant, TimePoint now)
+void UsageCaps::Rate::add(double amount, Duration timeConstant, TimePoint now)
 {
-    perSecond = value(rateTimeConstant, now) + amount / seconds(rateTimeConstant);
+    perSecond = value(timeConstant, now) + amount / seconds(timeConstant);
     at = now;
 }
 
-double UsageCaps::Rate::value(Duration rateTimeConstant, TimePoint now) const
+double UsageCaps::Rate::value(Duration timeConstant, TimePoint now) const
 {
-    return decay(perSecond, std::max(now - at, Duration(0)), rateTimeConstant);
+    return decay(perSecond, std::max(now - at, Duration(0)), timeConstant);
 }
 
-// An instance that has just started knows a part of the rateTimeConstant time only, and its rates
-// would be too low just when all begin anew and their callers come back together.
+// Corrects the rate of an instance that has run for less than the averaging time. Its rates would
+// be too low, in particular after a restart of all instances, when all callers return at once.
 double UsageCaps::rateOf(const Rate &rate, TimePoint now) const
 {
     constexpr double minKnownShare = 0.6;
@@ -74,8 +76,8 @@
         Account account = old == m_accounts.end() ? Account{} : std::move(old->second);
         account.name = name;
         account.cap = *customer.usageCap;
-        const bool fresh = old == m_accounts.end();
-        account.level = fresh ? grantableSlackShare * m_limits.slack
+        const bool isNew = old == m_accounts.end();
+        account.level = isNew ? grantableSlackShare * m_limits.slack
                               : std::min(account.level, grantableBurst(account.cap));
         accounts.emplace(id, std::move(account));
     }
@@ -96,9 +98,9 @@
     return found == m_accounts.end() ? nullptr : &found->second;
 }
 
-// The part of a cap that is a region's while it is not heard. The same for all: what each last knew
-// of the others' use differs between the sides of a cut, and parts that go by it add up to more
-// than the fleet.
+// Returns the share of a cap that is reserved for a region whose totals do not arrive. It is the
+// same for all regions: shares by the last known usage would differ between the sides of a
+// partition and could add up to more than the cap.
 double UsageCaps::regionShare() const
 {
     return 1 / static_cast<double>(std::max<std::size_t>(m_scope.regions.size(), 1));
@@ -115,12 +117,12 @@
     return isStarting(now) ? std::max(count, m_limits.minInstancesAtStartup) : count;
 }
 
-// How far a region's sums still count. While some customer is near its cap they come ten times a
-// second; trusted in full until they are too old, both sides of a cut would use the fleetUsage so
-// long.
-double UsageCaps::weightOf(const RegionTotal &sum, TimePoint now) const
+// Returns the weight of a region's totals by their age, from 1 to 0. Near a cap they arrive ten
+// times per second; with full weight up to the maximum age, both sides of a partition would use the
+// whole cap for that long.
+double UsageCaps::weightOf(const RegionTotal &total, TimePoint now) const
 {
-    const Duration age = now - sum.at;
+    const Duration age = now - total.at;
     const Duration late = age - m_limits.usageFreshFor;
     return 1
         - std::clamp(seconds(late) / seconds(m_limits.usageMaxAge - m_limits.usageFreshFor), 0.0,
@@ -148,21 +150,21 @@
     return fleet;
 }
 
-// What may be given out at once beside the cap. With a small cap the slack is the larger part, and
-// lets a request through that takes a third of a second's cap or more.
+// Returns the amount that may be admitted at once in addition to the cap. With a small cap most of
+// it comes from the slack, which admits a request that takes a third of a second's cap or more.
 double UsageCaps::grantableBurst(const UsageCap &cap) const
 {
     return grantableBurstShare * cap.burst + grantableSlackShare * m_limits.slack;
 }
 
-// What is not used of the cap is saved up to its burst; what was given beyond it, since news takes
-// its time, is consumed back.
+// Adds the unused part of the cap to the level, up to the grantable burst, and subtracts what was
+// admitted above the cap because updates arrive late.
 void UsageCaps::updateLevel(Account &account, const FleetUsage &fleet, TimePoint now) const
 {
     if (account.levelAt != TimePoint{}) {
         const double time = seconds(std::max(now - account.levelAt, Duration(0)));
         const double minLevel = -m_limits.maxOverdraftSeconds * account.cap.perSecond;
-        // Of the burst, too, a part is available to those that are not heard.
+        // A share of the burst, too, is reserved for regions whose totals do not arrive.
         const double burst = grantableBurst(account.cap) * fleet.available / account.cap.perSecond;
         account.level = std::clamp(account.level + (fleet.available - fleet.consumed) * time,
                                    minLevel, burst);
@@ -186,29 +188,29 @@
     return decision;
 }
 
-// Nobody else's use is known, so this instance keeps to its own part, and may overdraw it by one
-// request: a part may be less than any request takes. But not just after its start, where all may
-// have started and each would.
+// Without totals of its region this instance stays within its own share, which it may overdraw by
+// one request, as a share may be smaller than any request. It may not do so during startup: after a
+// restart of all instances, each of them would.
 UsageDecision UsageCaps::decideFromLocalShare(Account &account, double amount, double draw,
                                               TimePoint now) const
 {
     UsageDecision decision;
-    const double part
+    const double share
         = account.cap.perSecond * regionShare() / static_cast<double>(effectiveInstanceCount(now));
     if (account.localLevelAt == TimePoint{})
-        account.localLevel = part * localBurstSeconds;
+        account.localLevel = share * localBurstSeconds;
     else
-        account.localLevel += part * seconds(std::max(now - account.localLevelAt, Duration(0)));
-    account.localLevel = std::min(account.localLevel, part * localBurstSeconds);
+        account.localLevel += share * seconds(std::max(now - account.localLevelAt, Duration(0)));
+    account.localLevel = std::min(account.localLevel, share * localBurstSeconds);
     account.localLevelAt = now;
     decision.requested = rateOf(account.requested, now);
-    decision.limit = part;
+    decision.limit = share;
     decision.level = account.localLevel;
     decision.fits = isStarting(now) ? draw * amount < account.localLevel : account.localLevel > 0;
     if (decision.fits)
         account.localLevel -= amount;
     else
-        decision.retryAfter = toDuration(-account.localLevel / std::max(1.0, part));
+        decision.retryAfter = toDuration(-account.localLevel / std::max(1.0, share));
     return decision;
 }
 
@@ -220,7 +222,7 @@
     Account *account = find(customer.name);
     if (account == nullptr)
         return {};
-    account->requests.add(1, m_limits.rateTimeConstant, now);
+    account->requestCount.add(1, m_limits.rateTimeConstant, now);
     account->requested.add(amount, m_limits.rateTimeConstant, now);
     const FleetUsage fleet = fleetUsage(*account, now);
     const UsageDecision decision = fleet.localRegionAt
@@ -259,9 +261,10 @@
         const double requested = rateOf(account.requested, now) * executedShare(account, now);
         usages.push_back({id, static_cast<float>(requested), static_cast<float>(consumed)});
     }
-    // What is next to nothing is available out: the message is as short as few customers are busy.
-    std::erase_if(usages,
-                  [](const CustomerUsage &use) { return use.requested < 1 && use.consumed < 1; });
+    // Omits customers with almost no usage, so that the message length depends on active customers.
+    std::erase_if(usages, [](const CustomerUsage &usage) {
+        return usage.requested < 1 && usage.consumed < 1;
+    });
     return usages;
 }
 
@@ -272,18 +275,19 @@
     m_instances[instance] = {std::move(usages), now};
 }
 
-// Instances of the region that are not heard keep to their own part, and may be using all of it.
+// Returns the usage assumed for instances of the region whose reports do not arrive: their whole
+// share.
 std::vector<CustomerUsage> UsageCaps::unreachableUsage(TimePoint now) const
 {
-    const std::size_t heard = m_instances.size() + 1;
+    const std::size_t reporting = m_instances.size() + 1;
     const std::size_t count = effectiveInstanceCount(now);
-    if (count <= heard)
+    if (count <= reporting)
         return {};
-    const double part = static_cast<double>(count - heard) / static_cast<double>(count);
+    const double share = static_cast<double>(count - reporting) / static_cast<double>(count);
     std::vector<CustomerUsage> usages;
     for (const auto &[id, account] : m_accounts) {
-        const auto use = static_cast<float>(part * account.cap.perSecond * regionShare());
-        usages.push_back({id, use, use});
+        const auto usage = static_cast<float>(share * account.cap.perSecond * regionShare());
+        usages.push_back({id, usage, usage});
     }
     return usages;
 }
@@ -293,41 +297,41 @@
     const std::vector<CustomerUsage> own = localUsage(now);
     const std::lock_guard lock(m_mutex);
     std::map<std::uint32_t, CustomerUsage> sums;
-    const auto add = [&sums](const CustomerUsage &use) {
-        CustomerUsage &sum = sums[use.customer];
-        sum.customer = use.customer;
-        sum.requested += use.requested;
-        sum.consumed += use.consumed;
+    const auto add = [&sums](const CustomerUsage &usage) {
+        CustomerUsage &total = sums[usage.customer];
+        total.customer = usage.customer;
+        total.requested += usage.requested;
+        total.consumed += usage.consumed;
     };
-    for (const CustomerUsage &use : own)
-        add(use);
+    for (const CustomerUsage &usage : own)
+        add(usage);
     std::erase_if(m_instances,
                   [&](const auto &entry) { return now - entry.second.at > m_limits.usageMaxAge; });
     for (const auto &[instance, reported] : m_instances) {
-        for (const CustomerUsage &use : reported.customers)
-            add(use);
+        for (const CustomerUsage &usage : reported.customers)
+            add(usage);
     }
-    for (const CustomerUsage &use : unreachableUsage(now))
-        add(use);
+    for (const CustomerUsage &usage : unreachableUsage(now))
+        add(usage);
     RegionUsage result{m_scope.region, 0, {}};
-    for (const auto &[id, sum] : sums)
-        result.customers.push_back(sum);
+    for (const auto &[id, total] : sums)
+        result.customers.push_back(total);
     return result;
 }
 
-void UsageCaps::onRegionUsage(const RegionUsage &use, TimePoint now)
+void UsageCaps::onRegionUsage(const RegionUsage &usage, TimePoint now)
 {
     const std::lock_guard lock(m_mutex);
-    const TimePoint at = now - std::chrono::milliseconds(use.ageMs);
+    const TimePoint at = now - std::chrono::milliseconds(usage.ageMs);
     for (auto &[id, account] : m_accounts) {
-        RegionTotal &sum = account.regions[use.region];
-        if (at < sum.at)
+        RegionTotal &total = account.regions[usage.region];
+        if (at < total.at)
             continue;
         const auto found
-            = std::find_if(use.customers.begin(), use.customers.end(),
-                           [id = id](const CustomerUsage &one) { return one.customer == id; });
-        const bool used = found != use.customers.end();
-        sum = {used ? found->requested : 0.0, used ? found->consumed : 0.0, at};
+            = std::find_if(usage.customers.begin(), usage.customers.end(),
+                           [id = id](const CustomerUsage &entry) { return entry.customer == id; });
+        const bool isPresent = found != usage.customers.end();
+        total = {isPresent ? found->requested : 0.0, isPresent ? found->consumed : 0.0, at};
     }
 }
 
@@ -336,28 +340,28 @@
     const std::lock_guard lock(m_mutex);
     std::vector<RegionUsage> result;
     for (const std::string &region : m_scope.regions) {
-        RegionUsage use{region, 0, {}};
+        RegionUsage usage{region, 0, {}};
         bool known = false;
         for (const auto &[id, account] : m_accounts) {
             const auto found = account.regions.find(region);
             if (found == account.regions.end() || weightOf(found->second, now) <= 0)
                 continue;
             known = true;
-            const RegionTotal &sum = found->second;
-            use.ageMs = ageInMs(sum.at, now);
-            if (sum.requested > 0 || sum.consumed > 0)
-                use.customers.push_back(
-                    {id, static_cast<float>(sum.requested), static_cast<float>(sum.consumed)});
+            const RegionTotal &total = found->second;
+            usage.ageMs = ageInMs(total.at, now);
+            if (total.requested > 0 || total.consumed > 0)
+                usage.customers.push_back(
+                    {id, static_cast<float>(total.requested), static_cast<float>(total.consumed)});
         }
         if (known)
-            result.push_back(std::move(use));
+            result.push_back(std::move(usage));
     }
     return result;
 }
 
-// Of what this instance let pass, the part that was not refused for other reasons. What would be
-// refused anyway is not requested of the cap; counted in, a customer got less than its cap wherever
-// servers were short.
+// Returns the part of the admitted amount that was not rejected for another reason. Requests that
+// would be rejected anyway must not count against the cap; otherwise a customer would get less than
+// its cap when backend servers are short.
 double UsageCaps::executedShare(const Account &account, TimePoint now) const
 {
     constexpr double minShare = 0.2;
@@ -371,15 +375,15 @@
     return !m_accounts.empty();
 }
 
-// The others are consumed to see as much as this instance does, beyond the few requests that chance
-// may bring together: where a burst reaches all, that is its first sign.
+// Assumes that all other instances receive as much as this one, apart from the few requests that
+// may coincide by chance. This is the earliest sign of a burst that reaches all instances.
 double UsageCaps::estimatedFleetDemand(const Account &account, TimePoint now) const
 {
     constexpr double maxRequestsByChance = 3;
-    const double requests = rateOf(account.requests, now);
-    if (requests <= maxRequestsByChance)
+    const double requestRate = rateOf(account.requestCount, now);
+    if (requestRate <= maxRequestsByChance)
         return 0;
-    const double here = rateOf(account.requested, now) * (1 - maxRequestsByChance / requests);
+    const double here = rateOf(account.requested, now) * (1 - maxRequestsByChance / requestRate);
     const std::size_t all
         = m_scope.instanceCount * std::max<std::size_t>(m_scope.regions.size(), 1);
     return here * static_cast<double>(all);
--- a/test/usage-cap-test.cc
+++ b/test/usage-cap-test.cc
@@ -13,18 +13,19 @@
 
 namespace {
 
-// What the users allow in a window of eight seconds, beside the cap.
+// Within any window of this length, the usage of a customer may exceed cap and burst by this share
+// and this many units.
 constexpr int windowSeconds = 8;
-constexpr double over = 0.1;
+constexpr double toleratedShare = 0.1;
 constexpr double slack = 110'000;
 
 constexpr Duration step = 20ms;
 constexpr Duration tick = 100ms;
-constexpr Duration usePeriod = 250ms;
+constexpr Duration reportInterval = 250ms;
 
-// Instances of three regions that tell each other what one customer uses, as the control loop does:
-// each to the first of its region, that one to its counterparts and to its region. A datagram takes
-// a step within a region and 80 ms between two.
+// Instances of three regions that report the usage of one customer as the control loop does: each
+// to the first instance of its region, and that one to the first instances of the other regions and
+// to its own region. A message takes 5 ms within a region and 80 ms between regions.
 class FleetModel
 {
 public:
@@ -38,19 +39,19 @@
         }
         for (Node &node : m_nodes)
             start(node);
-        // Traffic comes some seconds after the start, when all know each other.
+        // Traffic starts some seconds later, when all instances know each other.
         run(6s, 0);
     }
 
-    // All instances are lost and begin anew at once, knowing nothing.
+    // Restarts all instances at once, without their state.
     void restartAll()
     {
-        m_sent.clear();
+        m_inTransit.clear();
         for (Node &node : m_nodes)
             start(node);
     }
 
-    // Requests of the customer at this many units a second, spread over the regions by `weights`.
+    // Simulates requests of this many units per second, distributed over the regions by `weights`.
     void run(Duration time, double perSecond, std::vector<double> weights = {1, 1, 1})
     {
         const TimePoint end = now + time;
@@ -63,46 +64,46 @@
             for (std::size_t i = 0; i < m_nodes.size(); ++i) {
                 const double rate
                     = perSecond * weights[i / perRegion] / total / static_cast<double>(perRegion);
-                callers(m_nodes[i], rate);
+                sendRequests(m_nodes[i], rate);
                 if ((now.time_since_epoch() % tick) == Duration(0))
                     control(m_nodes[i], i % perRegion == 0);
             }
         }
     }
 
-    // The most that was taken in any window, against what may be.
+    // Returns the largest usage in any window, as a share of the allowed usage.
     double worstWindow() const
     {
         double worst = 0;
         double sum = 0;
         std::size_t first = 0;
-        for (const auto &[at, amount] : m_taken) {
+        for (const auto &[at, amount] : m_consumed) {
             sum += amount;
-            while (at - m_taken[first].first > std::chrono::seconds(windowSeconds))
-                sum -= m_taken[first++].second;
+            while (at - m_consumed[first].first > std::chrono::seconds(windowSeconds))
+                sum -= m_consumed[first++].second;
             worst = std::max(worst, sum);
         }
         const double limit
             = windowSeconds * customer.usageCap->perSecond + customer.usageCap->burst;
-        return worst / (limit * (1 + over) + slack);
+        return worst / (limit * (1 + toleratedShare) + slack);
     }
 
-    double takenPerSecond(Duration time) const
+    double consumedPerSecond(Duration time) const
     {
         double sum = 0;
-        for (const auto &[at, amount] : m_taken)
+        for (const auto &[at, amount] : m_consumed)
             sum += now - at <= time ? amount : 0;
         return sum / seconds(time);
     }
 
-    double refusedPart() const { return asked > 0 ? refused / asked : 0; }
+    double rejectedShare() const { return requested > 0 ? rejected / requested : 0; }
 
     Customer customer;
     TimePoint now{10s};
-    double asked = 0;
-    double refused = 0;
-    double ranPart = 1; // of what the cap lets pass, what servers do not refuse
-    std::string cutOff; // a region that no datagram leaves or enters
+    double requested = 0;
+    double rejected = 0;
+    double executedShare = 1; // share of the admitted requests that backend servers accept
+    std::string isolatedRegion; // no message leaves or enters this region
 
 private:
     struct Node
@@ -110,11 +111,11 @@
         std::string region;
         std::string name;
         std::shared_ptr<UsageCaps> usage;
-        TimePoint nextUses;
+        TimePoint nextReport;
         bool up;
     };
 
-    struct Sent
+    struct Message
     {
         TimePoint arrives;
         std::function<void()> deliver;
@@ -130,7 +131,7 @@
 
     double amount() { return m_random.uniform() < 0.26 ? 9'300 : 1'300; }
 
-    void callers(Node &node, double perSecond)
+    void sendRequests(Node &node, double perSecond)
     {
         constexpr double meanAmount = 0.26 * 9'300 + 0.74 * 1'300;
         const double chance = perSecond * seconds(step) / meanAmount;
@@ -138,11 +139,11 @@
             if (m_random.uniform() >= left)
                 continue;
             const double units = amount();
-            asked += units;
+            requested += units;
             if (!node.usage->admit(customer, units, m_random.uniform(), now).fits)
-                refused += units;
-            else if (m_random.uniform() < ranPart)
-                m_taken.emplace_back(now, units);
+                rejected += units;
+            else if (m_random.uniform() < executedShare)
+                m_consumed.emplace_back(now, units);
             else
                 node.usage->release(customer.name, units, now);
         }
@@ -150,21 +151,21 @@
 
     void send(const Node &from, const Node &to, std::function<void()> deliver)
     {
-        const bool away = from.region != to.region;
-        if (away && (from.region == cutOff || to.region == cutOff))
+        const bool isRemote = from.region != to.region;
+        if (isRemote && (from.region == isolatedRegion || to.region == isolatedRegion))
             return;
-        m_sent.push_back({now + (away ? 80ms : 5ms), std::move(deliver)});
+        m_inTransit.push_back({now + (isRemote ? 80ms : 5ms), std::move(deliver)});
     }
 
     void deliver()
     {
-        std::deque<Sent> waiting;
-        std::swap(waiting, m_sent);
-        for (Sent &sent : waiting) {
-            if (sent.arrives <= now)
-                sent.deliver();
+        std::deque<Message> waiting;
+        std::swap(waiting, m_inTransit);
+        for (Message &message : waiting) {
+            if (message.arrives <= now)
+                message.deliver();
             else
-                m_sent.push_back(std::move(sent));
+                m_inTransit.push_back(std::move(message));
         }
     }
 
@@ -173,11 +174,11 @@
         UsageCaps &usage = *node.usage;
         usage.setScope({node.region, {"a", "b", "c"}, m_nodes.size() / 3}, now);
         usage.tick(now);
-        if (now < node.nextUses && !usage.isNearAnyCap(now))
+        if (now < node.nextReport && !usage.isNearAnyCap(now))
             return;
-        node.nextUses = now + usePeriod;
+        node.nextReport = now + reportInterval;
         if (first)
-            return tellSums(node);
+            return sendTotals(node);
         for (Node &other : m_nodes) {
             if (other.region != node.region)
                 continue;
@@ -189,7 +190,7 @@
         }
     }
 
-    void tellSums(Node &node)
+    void sendTotals(Node &node)
     {
         UsageCaps &usage = *node.usage;
         usage.onRegionUsage(usage.aggregateRegion(now), now);
@@ -209,115 +210,115 @@
 
     Random m_random;
     std::vector<Node> m_nodes;
-    std::deque<Sent> m_sent;
-    std::vector<std::pair<TimePoint, double>> m_taken;
+    std::deque<Message> m_inTransit;
+    std::vector<std::pair<TimePoint, double>> m_consumed;
 };
 
 constexpr double largeCap = 1'000'000;
 constexpr double smallCap = 29'000;
-// Usual use of the cap, and a customer that asks for nine times that.
+// Requested rates as a multiple of the cap: the usual one, and nine times that.
 constexpr double usual = 1 / 1.8;
-constexpr double hot = 9 * usual;
+constexpr double overload = 9 * usual;
 
 } // namespace
 
-// Guards against callers being turned away below their cap while all instances see each other.
-TEST_CASE("usageCaps_customerBelowItsCap_isNeverRefused")
+// Guards against rejected requests below the cap while all instances reach each other.
+TEST_CASE("usageCaps_customerBelowItsCap_isNeverRejected")
 {
     for (const double cap : {smallCap, largeCap}) {
         FleetModel fleet(20, cap);
         fleet.run(20s, cap * usual);
         fleet.run(20s, cap * usual, {8, 1, 1});
-        CHECK(fleet.refusedPart() <= 0.002);
+        CHECK(fleet.rejectedShare() <= 0.002);
     }
 }
 
-// Guards against a customer that sends many times its usual and pushes the others out.
-TEST_CASE("usageCaps_customerFarAboveItsCap_isHeldToIt")
+// Guards against a customer that displaces others by sending many times its usual rate.
+TEST_CASE("usageCaps_customerFarAboveItsCap_isLimitedToIt")
 {
     for (const double cap : {smallCap, largeCap}) {
         FleetModel fleet(20, cap);
         fleet.run(10s, cap * usual);
-        fleet.run(11s, cap * hot);
+        fleet.run(11s, cap * overload);
         fleet.run(5s, cap * usual);
         CHECK(fleet.worstWindow() <= 1);
-        // It gets what it may have.
+        // It also gets most of its cap.
         CHECK(fleet.worstWindow() >= 0.6);
     }
 }
 
-// Guards against a cap being given out once by each side of a cut.
-TEST_CASE("usageCaps_regionCutOffBesideAHotCustomer_staysWithinTheCap")
+// Guards against each side of a network partition granting the whole cap.
+TEST_CASE("usageCaps_regionIsolatedUnderOverload_staysWithinTheCap")
 {
     for (const double cap : {smallCap, largeCap}) {
         FleetModel fleet(20, cap);
         fleet.run(10s, cap * usual);
-        fleet.cutOff = "a";
+        fleet.isolatedRegion = "a";
         fleet.run(3s, cap * usual);
-        fleet.run(8s, cap * hot);
-        fleet.cutOff.clear();
-        fleet.run(5s, cap * hot);
+        fleet.run(8s, cap * overload);
+        fleet.isolatedRegion.clear();
+        fleet.run(5s, cap * overload);
         CHECK(fleet.worstWindow() <= 1);
     }
 }
 
-// Guards against a cap being given out anew by instances that know nothing of what was spent.
-TEST_CASE("usageCaps_allInstancesLostBesideAHotCustomer_stayWithinTheCap")
+// Guards against instances that grant the cap again after a restart, as they know no earlier usage.
+TEST_CASE("usageCaps_allInstancesRestartedUnderOverload_stayWithinTheCap")
 {
     for (const double cap : {smallCap, largeCap}) {
         FleetModel fleet(20, cap);
-        fleet.run(8s, cap * hot);
+        fleet.run(8s, cap * overload);
         fleet.run(1s, 0);
         fleet.restartAll();
-        fleet.run(10s, cap * hot);
+        fleet.run(10s, cap * overload);
         CHECK(fleet.worstWindow() <= 1);
     }
 }
 
-// Guards against callers that come back after a loss of all and are turned away below their cap, as
-// nobody knows yet what was spent.
-TEST_CASE("usageCaps_allInstancesBack_refuseATenthAtMostBelowTheCap")
+// Guards against rejecting callers below their cap that return after a restart of all instances,
+// when no instance knows the usage yet.
+TEST_CASE("usageCaps_allInstancesRestarted_rejectATenthAtMostBelowTheCap")
 {
     for (const double cap : {smallCap, largeCap}) {
         FleetModel fleet(20, cap);
         fleet.run(5s, cap * usual);
         fleet.restartAll();
         fleet.run(3s, cap * usual);
-        CHECK(fleet.refusedPart() <= 0.1);
+        CHECK(fleet.rejectedShare() <= 0.1);
     }
 }
 
-// Guards against a customer that gets less than its cap where servers are short: what they refuse
-// is given back, and is no use.
-TEST_CASE("usageCaps_halfIsRefusedByServers_customerGetsItsCapAllTheSame")
+// Guards against a customer getting less than its cap when backend servers are short: requests that
+// they reject are released and do not count as consumed.
+TEST_CASE("usageCaps_halfIsRejectedByServers_customerStillGetsItsCap")
 {
     FleetModel fleet(5, largeCap);
-    fleet.ranPart = 0.5;
-    fleet.run(12s, largeCap * hot);
-    CHECK(fleet.takenPerSecond(12s) >= 0.85 * largeCap);
+    fleet.executedShare = 0.5;
+    fleet.run(12s, largeCap * overload);
+    CHECK(fleet.consumedPerSecond(12s) >= 0.85 * largeCap);
     CHECK(fleet.worstWindow() <= 1);
 }
 
-// Guards against sums that come late, twice or not at all.
-TEST_CASE("usageCaps_anyMixOfCutsAndLosses_staysWithinTheCap")
+// Guards against totals that arrive late or not at all, in any sequence of partitions and restarts.
+TEST_CASE("usageCaps_anyMixOfPartitionsAndRestarts_staysWithinTheCap")
 {
-    rc::prop("whatever happens", [] {
+    rc::prop("usage stays within the cap", [] {
         const double cap = *rc::gen::element(smallCap, 150'000.0, largeCap);
         FleetModel fleet(static_cast<std::size_t>(*rc::gen::inRange(1, 12)), cap,
                          *rc::gen::inRange<std::uint64_t>(1, 1 << 20));
         for (int part = 0; part < 5; ++part) {
-            fleet.cutOff = *rc::gen::element<std::string>("", "a", "b");
+            fleet.isolatedRegion = *rc::gen::element<std::string>("", "a", "b");
             if (*rc::gen::inRange(0, 4) == 0)
                 fleet.restartAll();
-            const double asked = *rc::gen::element(usual, 3.0, hot);
-            fleet.run(std::chrono::seconds(*rc::gen::inRange(1, 6)), cap * asked,
+            const double requested = *rc::gen::element(usual, 3.0, overload);
+            fleet.run(std::chrono::seconds(*rc::gen::inRange(1, 6)), cap * requested,
                       {1, 1, *rc::gen::element(1.0, 6.0)});
         }
         RC_ASSERT(fleet.worstWindow() <= 1);
     });
 }
 
-TEST_CASE("usageCaps_requestGivenBack_countsAsNotTaken")
+TEST_CASE("usageCaps_requestReleased_isNotConsumed")
 {
     UsageCaps usage;
     Customer customer;
@@ -331,7 +332,7 @@
     CHECK(usage.localUsage(now).front().consumed == 0);
 }
 
-// Guards against a limit where the configuration sets none.
+// Guards against limiting a customer for which the configuration sets no cap.
 TEST_CASE("usageCaps_customerWithoutACap_isNotCounted")
 {
     UsageCaps usage;
@@ -342,8 +343,8 @@
     CHECK_FALSE(usage.hasCaps());
 }
 
-// Guards against a lowered cap that goes on giving out what was saved up under the old one.
-TEST_CASE("usageCaps_capLowered_keepsNoMoreOfTheBurstThanBefore")
+// Guards against a lowered cap that still grants the burst accumulated under the previous one.
+TEST_CASE("usageCaps_capLowered_reducesTheLevelToTheNewBurst")
 {
     UsageCaps usage;
     Customer customer;
