--- a/test/answers-fleet-test.cc
+++ b/test/answers-fleet-test.cc
@@ -53,7 +53,7 @@
 
 struct AnswersFixture
 {
-    Fleet fleet{FleetShape{.regions = 1, .entries = 2, .models = 3}};
+    Fleet fleet{FleetShape{.regions = 1, .instances = 2, .models = 3}};
 
     void restart(const std::string &entry)
     {
@@ -65,7 +65,7 @@
     void allModels(const std::string &mode)
     {
         for (const char *name : {"a-m1", "a-m2", "a-m3"})
-            fleet.fault(name, mode);
+            fleet.setFault(name, mode);
     }
 };
 
@@ -89,9 +89,9 @@
     CHECK(nlohmann::json::parse(whole.body)["choices"][0]["message"]["content"] == wholeText(12));
     for (const Reply &reply : {streamed, whole}) {
         CHECK(reply.code == code(ResultCode::served));
-        CHECK(reply.run == "run");
-        CHECK_FALSE(reply.id.empty());
-        CHECK(reply.whole);
+        CHECK(reply.runState == "run");
+        CHECK_FALSE(reply.requestId.empty());
+        CHECK(reply.isComplete);
     }
     OutgoingRequest request;
     request.url = "http://" + fleet.peers("a1") + "/metrics";
@@ -110,14 +110,14 @@
 {
     for (const char *mode : {"hang", "cross", "truncate", "drop", "refuse", "error"}) {
         INFO(mode);
-        fleet.fault("a-m1", mode);
+        fleet.setFault("a-m1", mode);
         for (int i = 0; i < 6; ++i) {
             const Reply reply = fleet.chat("a1", false, 6, std::string(mode) + std::to_string(i));
             CHECK(reply.code == code(ResultCode::served));
             CHECK(nlohmann::json::parse(reply.body)["choices"][0]["message"]["content"]
                   == wholeText(6));
         }
-        fleet.fault("a-m1", "none");
+        fleet.setFault("a-m1", "none");
         // Budget and ejections start afresh for the next kind of failure.
         restart("a1");
     }
@@ -143,9 +143,9 @@
             const std::string text = streamedText(reply.body, done);
             CHECK_FALSE(done);
             CHECK(wholeText(6).rfind(text, 0) == 0);
-            if (reply.whole) {
+            if (reply.isComplete) {
                 CHECK(reply.status >= 400);
-                CHECK(reply.run == "unknown");
+                CHECK(reply.runState == "unknown");
             } else {
                 CHECK(reply.body.find("\"error\"") != std::string::npos);
             }
@@ -157,7 +157,7 @@
 {
     allModels("refuse");
     const Reply reply = fleet.chat("a1", false);
-    CHECK(reply.run == "not run");
+    CHECK(reply.runState == "not run");
     CHECK(reply.retryAfter > 0);
 }
 
@@ -167,21 +167,21 @@
 {
     allModels("refuse");
     for (const char *name : {"a-m1", "a-m2", "a-m3"})
-        fleet.fault(name, "drop", 1);
+        fleet.setFault(name, "drop", 1);
     const Reply reply = fleet.chat("a1", false);
-    CHECK(reply.run == "unknown");
+    CHECK(reply.runState == "unknown");
 }
 
 // The same with an engine that fails without being lost, so that the retry is no trial.
 TEST_CASE_METHOD(AnswersFixture, "refusal_ofARetryAfterAServerError_neverSaysNotRun")
 {
     allModels("refuse");
-    fleet.fault("a-m1", "error");
+    fleet.setFault("a-m1", "error");
     int tried = 0;
     for (int i = 0; i < 12; ++i) {
         const Reply reply = fleet.chat("a1", false, 6, "prompt " + std::to_string(i));
         OutgoingRequest request;
-        request.url = "http://" + fleet.peers("a1") + "/admin/explain?id=" + reply.id;
+        request.url = "http://" + fleet.peers("a1") + "/admin/explain?id=" + reply.requestId;
         std::string steps;
         // The answer is sent before its trace is kept.
         eventually("the request is explained", [&] {
@@ -191,7 +191,7 @@
         });
         const bool mayHaveRun = steps.find("a-m1: server error") != std::string::npos;
         tried += mayHaveRun ? 1 : 0;
-        CHECK(reply.run == (mayHaveRun ? "unknown" : "not run"));
+        CHECK(reply.runState == (mayHaveRun ? "unknown" : "not run"));
     }
     CHECK(tried > 0);
 }
@@ -204,7 +204,7 @@
     OutgoingRequest request = fleet.chatRequest("a1", false, 6, "late", "free-token");
     request.headers.add("X-Request-Timeout-Ms", "700");
     const Reply reply = fleet.send(request);
-    CHECK(reply.run == "unknown");
+    CHECK(reply.runState == "unknown");
     CHECK(reply.code == code(ResultCode::deadlineExceeded));
 }
 
@@ -276,7 +276,7 @@
     }
     int left = 0;
     for (const char *name : {"a-m1", "a-m2", "a-m3"})
-        left += fleet.running(name) ? 1 : 0;
+        left += fleet.isRunning(name) ? 1 : 0;
     CHECK(left >= 1);
     CHECK(fleet.chat("a1", false, 6, "a sound request").code == code(ResultCode::served));
     CHECK(fleet.chat("a2", false, 6, "crash-this-engine").code == code(ResultCode::quarantined));
@@ -291,7 +291,7 @@
     for (int i = 0; i < 5; ++i) {
         fleet.chat(i % 2 == 0 ? "a1" : "a2", false, 6, "crash-this-engine");
         for (const char *name : {"a-m1", "a-m2", "a-m3"}) {
-            if (fleet.running(name))
+            if (fleet.isRunning(name))
                 continue;
             ++crashes;
             fleet.start(name);
@@ -316,7 +316,7 @@
         CHECK(copy.get().code != code(ResultCode::served));
     int left = 0;
     for (const char *name : {"a-m1", "a-m2", "a-m3"})
-        left += fleet.running(name) ? 1 : 0;
+        left += fleet.isRunning(name) ? 1 : 0;
     CHECK(left >= 1);
 }
 
@@ -329,15 +329,16 @@
         streams.push_back(std::async(std::launch::async, [this, i] {
             return fleet.chat("a1", true, 200, "stream " + std::to_string(i));
         }));
-    eventually("all streams are under way",
-               [&] { return fleet.status("a1").find("\"inFlight\":12,") != std::string::npos; });
+    eventually("all streams are under way", [&] {
+        return fleet.adminStatus("a1").find("\"inFlight\":12,") != std::string::npos;
+    });
     CHECK(fleet.stop("a1", SIGTERM) == 0);
     for (auto &stream : streams) {
         const Reply reply = stream.get();
         bool done = false;
         CHECK(streamedText(reply.body, done) == wholeText(200));
         CHECK(done);
-        CHECK(reply.whole);
+        CHECK(reply.isComplete);
     }
     OutgoingRequest request;
     request.url = "http://" + fleet.callers("a2") + "/v1/entries";
@@ -350,10 +351,10 @@
 // Why: its own word, seen by any instance, is passed on at once.
 TEST_CASE_METHOD(AnswersFixture, "leavingEngine_afterItsWord_getsNoNewWork")
 {
-    fleet.fault("a-m1", "leaving");
+    fleet.setFault("a-m1", "leaving");
     for (const char *entry : {"a1", "a2"})
         eventually("it is known",
-                   [&] { return fleet.status(entry).find("leaving") != std::string::npos; });
+                   [&] { return fleet.adminStatus(entry).find("leaving") != std::string::npos; });
     for (int i = 0; i < 40; ++i) {
         const Reply reply
             = fleet.chat(i % 2 == 0 ? "a1" : "a2", false, 2, "prompt " + std::to_string(i));
@@ -371,7 +372,7 @@
     CHECK(written.get_future().get().end == StoreEnd::ok);
     for (const char *entry : {"a1", "a2"})
         eventually("it is known",
-                   [&] { return fleet.status(entry).find("leaving") != std::string::npos; });
+                   [&] { return fleet.adminStatus(entry).find("leaving") != std::string::npos; });
     for (int i = 0; i < 20; ++i)
         CHECK(fleet.chat("a1", false, 2, std::to_string(i)).servedBy.find("a-m2")
               == std::string::npos);
--- a/test/booking-fleet-test.cc
+++ b/test/booking-fleet-test.cc
@@ -55,15 +55,15 @@
 {
     for (int i = 0; i < 4; ++i) {
         fleet.book("a1", fleet.callerKey());
-        fleet.lookUp("a1");
+        fleet.readStatus("a1");
     }
-    fleet.fault("a-a1", "drop");
+    fleet.setFault("a-a1", "drop");
     const std::string key = fleet.callerKey();
     const Reply reply = fleet.book("a1", key);
     CHECK(reply.code == code(ResultCode::outcomeUnknown));
-    CHECK(reply.run == "unknown");
+    CHECK(reply.runState == "unknown");
     CHECK(fleet.totalRuns(key) == 1);
-    fleet.fault("a-a1", "none");
+    fleet.setFault("a-a1", "none");
     CHECK(fleet.book("a2", key).code == code(ResultCode::outcomeUnknown));
     CHECK(fleet.totalRuns(key) == 1);
 }
@@ -73,14 +73,15 @@
 // without an outcome is never sent again.
 TEST_CASE_METHOD(BookingFleetFixture, "booking_holderKilledBeforeTheAnswer_isNotSentAgain")
 {
-    fleet.fault("a-a1", "hang");
+    fleet.setFault("a-a1", "hang");
     const std::string key = fleet.callerKey();
     auto first = std::async(std::launch::async, [&] { return fleet.book("a1", key); });
-    eventually("the booking is at the server",
-               [&] { return fleet.status("a1").find("\"inFlightHere\":1") != std::string::npos; });
+    eventually("the booking is at the server", [&] {
+        return fleet.adminStatus("a1").find("\"inFlightHere\":1") != std::string::npos;
+    });
     fleet.stop("a1", SIGKILL);
-    CHECK_FALSE(first.get().whole);
-    fleet.fault("a-a1", "none");
+    CHECK_FALSE(first.get().isComplete);
+    fleet.setFault("a-a1", "none");
     CHECK(fleet.book("a2", key).code == code(ResultCode::outcomeUnknown));
     CHECK(fleet.totalRuns(key) == 0);
 }
@@ -91,16 +92,16 @@
 {
     for (const char *mode : {"loseAnswers", "late", "refuse"}) {
         INFO(mode);
-        fleet.fault("store", mode, 2);
+        fleet.setFault("store", mode, 2);
         const std::string key = fleet.callerKey();
         auto other = std::async(std::launch::async, [&] { return fleet.book("a2", key); });
         const Reply one = fleet.book("a1", key);
         const Reply two = other.get();
         const int runs = fleet.totalRuns(key);
         CHECK(runs <= 1);
-        if (one.run == "not run" && two.run == "not run")
+        if (one.runState == "not run" && two.runState == "not run")
             CHECK(runs == 0);
-        fleet.fault("store", "none");
+        fleet.setFault("store", "none");
         eventually("the claim is settled", [&] {
             return fleet.book("a1", key).code != code(ResultCode::storeUnreachable);
         });
@@ -113,17 +114,17 @@
 // the memory of the instance that issued them.
 TEST_CASE_METHOD(BookingFleetFixture, "booking_storeDown_refusesOwnKeysAndTakesIssuedOnes")
 {
-    fleet.fault("store", "down");
+    fleet.setFault("store", "down");
     const std::string own = fleet.callerKey();
     const Reply refused = fleet.book("a1", own);
     CHECK(refused.code == code(ResultCode::storeUnreachable));
-    CHECK(refused.run == "not run");
+    CHECK(refused.runState == "not run");
     CHECK(refused.retryAfter > 0);
     const std::string issued = fleet.issuedKey("a1");
     CHECK(fleet.book("a2", issued).code == code(ResultCode::served));
     CHECK(fleet.totalRuns(issued) == 1);
     CHECK(fleet.totalRuns(own) == 0);
-    fleet.fault("store", "none");
+    fleet.setFault("store", "none");
     eventually("the refused key can be used",
                [&] { return fleet.book("a2", own).code == code(ResultCode::served); });
     CHECK(fleet.totalRuns(own) == 1);
@@ -134,18 +135,18 @@
 // taken once and is never handed on, however long its holder sleeps.
 TEST_CASE_METHOD(BookingFleetFixture, "booking_holderFrozenBetweenClaimAndSend_runsAtMostOnce")
 {
-    fleet.fault("store", "slow");
+    fleet.setFault("store", "slow");
     const std::string key = fleet.callerKey();
     auto first = std::async(std::launch::async, [&] { return fleet.book("a1", key); });
     std::this_thread::sleep_for(450ms);
     fleet.signal("a1", SIGSTOP);
-    fleet.fault("store", "none");
+    fleet.setFault("store", "none");
     const Reply second = fleet.book("a2", key);
     fleet.signal("a1", SIGCONT);
     const Reply woken = first.get();
     const int runs = fleet.totalRuns(key);
     CHECK(runs <= 1);
-    if (second.run == "not run" && woken.run == "not run")
+    if (second.runState == "not run" && woken.runState == "not run")
         CHECK(runs == 0);
 }
 
@@ -184,8 +185,8 @@
     const std::string own = fleet.callerKey();
     const std::string issued = fleet.issuedKey("a1");
     fleet.stop("a-a1", SIGKILL);
-    CHECK(fleet.book("a1", own).run == "not run");
-    CHECK(fleet.book("a1", issued).run == "not run");
+    CHECK(fleet.book("a1", own).runState == "not run");
+    CHECK(fleet.book("a1", issued).runState == "not run");
     fleet.start("a-a1");
     eventually("the booking runs",
                [&] { return fleet.book("a2", own).code == code(ResultCode::served); });
@@ -205,9 +206,9 @@
     const std::string key = fleet.issuedKey("a1");
     CHECK(fleet.book("a1", key).code == code(ResultCode::served));
     // The cut region's engines cannot be asked now; ours ran it once.
-    CHECK(fleet.runs("a-a1")[key] == 1);
+    CHECK(fleet.runCounts("a-a1")[key] == 1);
     CHECK(fleet.chat("a2", true).code == code(ResultCode::served));
-    CHECK(fleet.lookUp("a1").code == code(ResultCode::served));
+    CHECK(fleet.readStatus("a1").code == code(ResultCode::served));
     for (const char *name : {"store", "b1", "b2", "b-m1", "b-m2", "b-a1"})
         fleet.signal(name, SIGCONT);
     CHECK(fleet.totalRuns(key) == 1);
@@ -220,7 +221,7 @@
 {
     fleet.stop("a-a1", SIGKILL);
     eventually("the loss is noticed",
-               [&] { return fleet.status("a1").find("unreachable") != std::string::npos; });
+               [&] { return fleet.adminStatus("a1").find("unreachable") != std::string::npos; });
     for (const std::string &key : {fleet.callerKey(), fleet.issuedKey("a1")}) {
         const Reply reply = fleet.book("a1", key);
         CHECK(reply.code == code(ResultCode::served));
--- a/test/config-fleet-test.cc
+++ b/test/config-fleet-test.cc
@@ -23,7 +23,7 @@
 
 struct ConfigFleetFixture
 {
-    Fleet fleet{FleetShape{.regions = 2, .entries = 2, .models = 1}};
+    Fleet fleet{FleetShape{.regions = 2, .instances = 2, .models = 1}};
 
     absl::StatusOr<ConfigDocument> change(const std::string &note)
     {
@@ -60,7 +60,7 @@
             }
             return accepted;
         }));
-    fleet.fault("store", "loseAnswers", 6);
+    fleet.setFault("store", "loseAnswers", 6);
     std::set<std::uint64_t> versions;
     std::vector<ConfigDocument> all;
     for (auto &one : operators) {
@@ -84,7 +84,7 @@
     const auto changed = change("before the outage");
     REQUIRE(changed.ok());
     eventuallyInForce(changed->version);
-    fleet.fault("store", "down");
+    fleet.setFault("store", "down");
     fleet.stop("b2", SIGKILL);
     fleet.start("b2");
     fleet.waitReady("b2");
@@ -96,7 +96,7 @@
 // with neither store nor peers. Why: without rules it cannot know where data may go.
 TEST_CASE_METHOD(ConfigFleetFixture, "config_instanceWithoutAnyVersion_refuses")
 {
-    fleet.fault("store", "down");
+    fleet.setFault("store", "down");
     for (const char *entry : {"a1", "a2", "b1", "b2"})
         fleet.stop(entry, SIGKILL);
     fleet.start("a1");
@@ -106,7 +106,7 @@
         return reply.status != 0;
     });
     CHECK(reply.code == code(ResultCode::notReady));
-    CHECK(reply.run == "not run");
+    CHECK(reply.runState == "not run");
 }
 
 // What operators see: a change is in force in the cut region as soon as the cut ends, and never an
@@ -131,7 +131,7 @@
     CHECK(admin.apply(draft, std::nullopt).status().code() == absl::StatusCode::kInvalidArgument);
     CHECK(admin.current()->document->version == 1);
     CHECK(admin.apply(fleet.document(), 7).status().code() == absl::StatusCode::kAborted);
-    fleet.fault("store", "down");
+    fleet.setFault("store", "down");
     CHECK(admin.apply(fleet.document(), std::nullopt).status().code()
           == absl::StatusCode::kUnavailable);
 }
@@ -193,11 +193,11 @@
 // speaks of its own part only.
 TEST_CASE_METHOD(ConfigFleetFixture, "refusal_ofAPeerAfterAnAttemptAtHome_neverSaysNotRun")
 {
-    fleet.fault("a-m1", "drop");
-    fleet.fault("b-m1", "refuse");
+    fleet.setFault("a-m1", "drop");
+    fleet.setFault("b-m1", "refuse");
     const Reply reply = fleet.chat("a1", false);
     CHECK(reply.code != code(ResultCode::served));
-    CHECK(reply.run == "unknown");
+    CHECK(reply.runState == "unknown");
 }
 
 // What the caller sees: answers, also under steady traffic. In what order: a region without engines
@@ -266,8 +266,8 @@
                                 [&](const StoreWrite &write) { written.set_value(write); });
     REQUIRE(written.get_future().get().end == StoreEnd::ok);
     eventually("a watcher has seen it", [&] {
-        return fleet.status("a1").find("keyOfALaterRelease") != std::string::npos
-            || fleet.status("a2").find("keyOfALaterRelease") != std::string::npos;
+        return fleet.adminStatus("a1").find("keyOfALaterRelease") != std::string::npos
+            || fleet.adminStatus("a2").find("keyOfALaterRelease") != std::string::npos;
     });
     for (const char *entry : {"a1", "a2", "b1", "b2"}) {
         CHECK(fleet.configVersion(entry) == 1);
--- a/test/ctl-fleet-test.cc
+++ b/test/ctl-fleet-test.cc
@@ -33,7 +33,7 @@
 
 struct OperatorFixture
 {
-    Fleet fleet{FleetShape{.regions = 1, .entries = 2, .models = 1}};
+    Fleet fleet{FleetShape{.regions = 1, .instances = 2, .models = 1}};
     std::string folder;
     std::string store = "--store " + fleet.address("store") + " ";
     std::string entries = "--entries " + fleet.peers("a1") + "," + fleet.peers("a2") + " ";
@@ -91,17 +91,17 @@
     std::ofstream(folder + "/base.yaml") << "deployment: test\nregions: {a: {dataCe";
     CHECK(ctl(store + "apply " + folder).code == 2);
     writeFiles("");
-    fleet.fault("store", "down");
+    fleet.setFault("store", "down");
     CHECK(ctl(store + "apply " + folder).code == 4);
-    fleet.fault("store", "none");
+    fleet.setFault("store", "none");
     CHECK(ctl(store + "--json show").text.find("\"version\":3") != std::string::npos);
 }
 
 TEST_CASE_METHOD(OperatorFixture, "ctl_explain_tellsEachStepOfARequest")
 {
-    fleet.fault("a-m1", "error");
+    fleet.setFault("a-m1", "error");
     const Reply reply = fleet.chat("a1", false);
-    const Output explained = ctl(entries + "explain " + reply.id);
+    const Output explained = ctl(entries + "explain " + reply.requestId);
     CHECK(explained.code == 0);
     CHECK(explained.text.find("picked a-m1") != std::string::npos);
     CHECK(explained.text.find("attempt 1 at a-m1: server error") != std::string::npos);
@@ -114,19 +114,19 @@
 {
     CHECK(ctl(entries + "drain a-a1").code == 0);
     for (const char *entry : {"a1", "a2"})
-        eventually("it is drained", [&] { return fleet.lookUp(entry).code == 3002; });
+        eventually("it is drained", [&] { return fleet.readStatus(entry).code == 3002; });
     CHECK(ctl(entries + "status").text.find("a-a1: leaving") != std::string::npos);
     CHECK(ctl(entries + "undrain a-a1").code == 0);
     for (const char *entry : {"a1", "a2"})
-        eventually("it is back", [&] { return fleet.lookUp(entry).code == 1000; });
+        eventually("it is back", [&] { return fleet.readStatus(entry).code == 1000; });
     CHECK(ctl(entries + "drain nobody").code == 6);
 }
 
 TEST_CASE_METHOD(OperatorFixture, "burn_oneInstanceMissing_mergesTheRestAndSaysSo")
 {
     for (int i = 0; i < 3; ++i) {
-        fleet.lookUp("a1");
-        fleet.lookUp("a2");
+        fleet.readStatus("a1");
+        fleet.readStatus("a2");
     }
     const std::string options = "ibisnotch-burn " + store + entries;
     const auto report = nlohmann::json::parse(runProgram(options + "--format json").text);
--- a/test/fleet.cc
+++ b/test/fleet.cc
@@ -49,8 +49,8 @@
 
 Fleet::Fleet(FleetShape shape) : m_shape(std::move(shape))
 {
-    char folder[] = "/tmp/ibisnotch-test-XXXXXX";
-    m_folder = mkdtemp(folder);
+    char directory[] = "/tmp/ibisnotch-test-XXXXXX";
+    m_directory = mkdtemp(directory);
     assignPorts();
     m_store = makeConsulStore(m_client, address("store"));
     startAll();
@@ -63,10 +63,10 @@
         waitpid(pid, nullptr, 0);
     }
     if (std::getenv("KEEP_TEST_LOGS") == nullptr)
-        std::filesystem::remove_all(m_folder);
+        std::filesystem::remove_all(m_directory);
 }
 
-std::vector<std::string> Fleet::entryNames() const
+std::vector<std::string> Fleet::instanceNames() const
 {
     std::vector<std::string> names;
     for (const auto &[name, ports] : m_ports) {
@@ -78,11 +78,11 @@
 
 void Fleet::assignPorts()
 {
-    constexpr int portsOfEntry = 3;
+    constexpr int portsPerInstance = 3;
     std::vector<std::pair<std::string, int>> wanted{{"store", 1}};
     for (int r = 0; r < m_shape.regions; ++r) {
-        for (int i = 1; i <= m_shape.entries; ++i)
-            wanted.emplace_back(regionName(r) + std::to_string(i), portsOfEntry);
+        for (int i = 1; i <= m_shape.instances; ++i)
+            wanted.emplace_back(regionName(r) + std::to_string(i), portsPerInstance);
         for (int i = 1; i <= m_shape.models; ++i)
             wanted.emplace_back(regionName(r) + "-m" + std::to_string(i), 1);
         for (int i = 1; i <= m_shape.applications; ++i)
@@ -99,12 +99,12 @@
     }
 }
 
-std::string Fleet::address(const std::string &name, int which) const
+std::string Fleet::address(const std::string &name, int portIndex) const
 {
-    return "127.0.0.1:" + std::to_string(m_ports.at(name).at(static_cast<std::size_t>(which)));
+    return "127.0.0.1:" + std::to_string(m_ports.at(name).at(static_cast<std::size_t>(portIndex)));
 }
 
-std::string Fleet::entrySettings(const std::string &name) const
+std::string Fleet::instanceSettings(const std::string &name) const
 {
     const std::string region = name.substr(0, 1);
     std::string seeds;
@@ -116,7 +116,7 @@
                        address("store"), seeds);
 }
 
-std::vector<std::string> Fleet::commandOf(const std::string &name) const
+std::vector<std::string> Fleet::makeCommand(const std::string &name) const
 {
     const std::string bin = IBISNOTCH_BIN_DIR;
     const std::string port = std::to_string(m_ports.at(name).front());
@@ -127,21 +127,21 @@
                 std::to_string(m_shape.tokenMs)};
     if (name.find("-a") != std::string::npos)
         return {bin + "/standin-engine", "-p", port, "-n", name, "-s", "32"};
-    const std::string path = m_folder + "/" + name + ".yaml";
-    std::ofstream(path) << entrySettings(name);
+    const std::string path = m_directory + "/" + name + ".yaml";
+    std::ofstream(path) << instanceSettings(name);
     return {bin + "/ibisnotch-entry", "--settings", path};
 }
 
 void Fleet::start(const std::string &name)
 {
-    const std::vector<std::string> words = commandOf(name);
+    const std::vector<std::string> command = makeCommand(name);
     std::vector<char *> arguments;
-    for (const std::string &word : words)
-        arguments.push_back(const_cast<char *>(word.c_str()));
+    for (const std::string &argument : command)
+        arguments.push_back(const_cast<char *>(argument.c_str()));
     arguments.push_back(nullptr);
     posix_spawn_file_actions_t actions;
     posix_spawn_file_actions_init(&actions);
-    const std::string log = m_folder + "/" + name + ".log";
+    const std::string log = m_directory + "/" + name + ".log";
     posix_spawn_file_actions_addopen(&actions, 1, log.c_str(), O_WRONLY | O_CREAT | O_APPEND, 0644);
     posix_spawn_file_actions_adddup2(&actions, 1, 2);
     pid_t pid = 0;
@@ -161,32 +161,32 @@
             FAIL(std::string(applied.status().message()));
         return applied.ok();
     });
-    for (const std::string &name : entryNames())
+    for (const std::string &name : instanceNames())
         waitReady(name);
     // Every instance knows every other and the load of every other region, so that a test starts
     // from a settled fleet.
-    for (const std::string &name : entryNames()) {
+    for (const std::string &name : instanceNames()) {
         std::string missing;
         eventually(
             name + " knows the others",
             [&] {
-                missing = missingAt(name);
+                missing = describeMissing(name);
                 return missing.empty();
             },
             [&] { return missing + endedProcesses(); });
     }
 }
 
-std::string Fleet::missingAt(const std::string &entry)
+std::string Fleet::describeMissing(const std::string &entry)
 {
-    const std::string text = status(entry);
+    const std::string text = adminStatus(entry);
     const auto body = nlohmann::json::parse(text, nullptr, false);
     if (!body.is_object())
         return "no status: '" + text + "'";
     const auto members = body["members"].size();
     std::string missing;
-    if (members != entryNames().size())
-        missing += fmt::format("{} members of {}; ", members, entryNames().size());
+    if (members != instanceNames().size())
+        missing += fmt::format("{} members of {}; ", members, instanceNames().size());
     for (const auto &member : body["members"]) {
         if (member["state"] != "alive")
             missing
@@ -212,8 +212,8 @@
 {
     std::string ended;
     for (const auto &[name, ports] : m_ports) {
-        if (!running(name))
-            ended += "; process " + name + " has ended, see " + m_folder + "/" + name + ".log";
+        if (!isRunning(name))
+            ended += "; process " + name + " has ended, see " + m_directory + "/" + name + ".log";
     }
     return ended;
 }
@@ -244,7 +244,7 @@
             "customers:\n";
     base += "  free: {tokenSha256: " + sha256Hex("free-token") + "}\n";
     base += "  homed: {tokenSha256: " + sha256Hex("homed-token") + ", regions: [a]}\n";
-    base += m_shape.extraBase;
+    base += m_shape.extraBaseText;
     for (int r = 0; r < m_shape.regions; ++r) {
         const std::string region = regionName(r);
         std::string text = "backendServers:\n";
@@ -275,7 +275,7 @@
     return WIFEXITED(status) ? WEXITSTATUS(status) : -WTERMSIG(status);
 }
 
-bool Fleet::running(const std::string &name)
+bool Fleet::isRunning(const std::string &name)
 {
     const auto found = m_pids.find(name);
     if (found == m_pids.end())
@@ -286,7 +286,7 @@
     return false;
 }
 
-void Fleet::fault(const std::string &standin, const std::string &mode, int count)
+void Fleet::setFault(const std::string &standin, const std::string &mode, int count)
 {
     OutgoingRequest request;
     request.method = "PUT";
@@ -295,7 +295,7 @@
     REQUIRE(sendAndWait(m_client, request).response.status == 200);
 }
 
-std::map<std::string, int> Fleet::runs(const std::string &engine)
+std::map<std::string, int> Fleet::runCounts(const std::string &engine)
 {
     OutgoingRequest request;
     request.url = "http://" + address(engine) + "/standin/runs";
@@ -307,8 +307,8 @@
 {
     int total = 0;
     for (const auto &[name, ports] : m_ports) {
-        if (name.find("-a") != std::string::npos && running(name))
-            total += runs(name)[key];
+        if (name.find("-a") != std::string::npos && isRunning(name))
+            total += runCounts(name)[key];
     }
     return total;
 }
@@ -323,11 +323,11 @@
     reply.status = answer.response.status;
     (void)absl::SimpleAtoi(headers.get("X-Result-Code").value_or("0"), &reply.code);
     (void)absl::SimpleAtoi(headers.get("Retry-After").value_or("0"), &reply.retryAfter);
-    reply.run = headers.get("X-Run-State").value_or("");
+    reply.runState = headers.get("X-Run-State").value_or("");
     reply.servedBy = headers.get("X-Served-By").value_or("");
-    reply.id = headers.get("X-Request-Id").value_or("");
+    reply.requestId = headers.get("X-Request-Id").value_or("");
     reply.body = answer.response.body;
-    reply.whole = answer.result.end == TransferEnd::complete;
+    reply.isComplete = answer.result.end == TransferEnd::complete;
     return reply;
 }
 
@@ -369,7 +369,7 @@
     return send(bookRequest(entry, key, body, token));
 }
 
-Reply Fleet::lookUp(const std::string &entry, const std::string &token)
+Reply Fleet::readStatus(const std::string &entry, const std::string &token)
 {
     OutgoingRequest request;
     request.url = "http://" + callers(entry) + "/v1/services/status";
@@ -392,7 +392,7 @@
     return nlohmann::json::parse(reply.body).at("booking_keys").at(0);
 }
 
-std::string Fleet::status(const std::string &entry)
+std::string Fleet::adminStatus(const std::string &entry)
 {
     OutgoingRequest request;
     request.url = "http://" + peers(entry) + "/admin/status";
@@ -402,7 +402,7 @@
 
 std::uint64_t Fleet::configVersion(const std::string &entry)
 {
-    const auto body = nlohmann::json::parse(status(entry), nullptr, false);
+    const auto body = nlohmann::json::parse(adminStatus(entry), nullptr, false);
     return body.is_object() ? body.value("configVersion", std::uint64_t(0)) : 0;
 }
 
--- a/test/fleet.h
+++ b/test/fleet.h
@@ -19,11 +19,11 @@
 struct FleetShape
 {
     int regions = 1; // named a, b, c
-    int entries = 2; // in each region: a1, a2
+    int instances = 2; // in each region: a1, a2
     int models = 2; // in each region: a-m1, a-m2
     int applications = 1; // in each region: a-a1
     int tokenMs = 5;
-    std::string extraBase{}; // more lines for the base file
+    std::string extraBaseText{}; // more lines for the base file
 };
 
 // Three answers that matter of a reply, for short tests.
@@ -31,11 +31,11 @@
 {
     int status = 0;
     int code = 0;
-    std::string run;
+    std::string runState;
     std::string servedBy;
-    std::string id;
+    std::string requestId;
     std::string body;
-    bool whole = false;
+    bool isComplete = false;
     long retryAfter = 0;
 };
 
@@ -51,16 +51,16 @@
     void signal(const std::string &name, int number);
     // Ends a process and returns its exit code, or minus the signal that ended it.
     int stop(const std::string &name, int number);
-    bool running(const std::string &name);
+    bool isRunning(const std::string &name);
     pid_t pid(const std::string &name) const { return m_pids.at(name); }
 
     std::string callers(const std::string &entry) const { return address(entry, 0); }
     std::string peers(const std::string &entry) const { return address(entry, 1); }
-    std::string address(const std::string &name, int which = 0) const;
+    std::string address(const std::string &name, int portIndex = 0) const;
 
     // mode=... of a stand-in.
-    void fault(const std::string &standin, const std::string &mode, int count = 0);
-    std::map<std::string, int> runs(const std::string &engine);
+    void setFault(const std::string &standin, const std::string &mode, int count = 0);
+    std::map<std::string, int> runCounts(const std::string &engine);
     int totalRuns(const std::string &key);
 
     Reply send(OutgoingRequest request);
@@ -68,7 +68,7 @@
                const std::string &text = "hello", const std::string &token = "free-token");
     Reply book(const std::string &entry, const std::string &key,
                const std::string &body = "{\"n\":1}", const std::string &token = "free-token");
-    Reply lookUp(const std::string &entry, const std::string &token = "free-token");
+    Reply readStatus(const std::string &entry, const std::string &token = "free-token");
     OutgoingRequest chatRequest(const std::string &entry, bool stream, int tokens,
                                 const std::string &text, const std::string &token) const;
     OutgoingRequest bookRequest(const std::string &entry, const std::string &key,
@@ -76,7 +76,7 @@
 
     std::string callerKey();
     std::string issuedKey(const std::string &entry);
-    std::string status(const std::string &entry);
+    std::string adminStatus(const std::string &entry);
     std::uint64_t configVersion(const std::string &entry);
 
     // The first document, and a changed copy of what is in force.
@@ -90,14 +90,14 @@
     void startAll();
     // What the instance does not know yet of a settled fleet, with its status page; empty if
     // nothing.
-    std::string missingAt(const std::string &entry);
+    std::string describeMissing(const std::string &entry);
     std::string endedProcesses();
-    std::vector<std::string> commandOf(const std::string &name) const;
-    std::string entrySettings(const std::string &name) const;
-    std::vector<std::string> entryNames() const;
+    std::vector<std::string> makeCommand(const std::string &name) const;
+    std::string instanceSettings(const std::string &name) const;
+    std::vector<std::string> instanceNames() const;
 
     FleetShape m_shape;
-    std::string m_folder;
+    std::string m_directory;
     std::map<std::string, std::vector<int>> m_ports;
     std::map<std::string, pid_t> m_pids;
     HttpClient m_client;
--- a/test/free-ports.cc
+++ b/test/free-ports.cc
@@ -18,8 +18,8 @@
 // Below the ports that the system gives to outgoing connections, and above those of quickstart.
 constexpr int firstPort = 21000;
 constexpr int lastPort = 32000;
-constexpr int portsOfBlock = 64;
-constexpr int blocks = (lastPort - firstPort) / portsOfBlock;
+constexpr int portsPerBlock = 64;
+constexpr int blockCount = (lastPort - firstPort) / portsPerBlock;
 
 // Ports found by binding to 0 are given back before the tested program binds them, and test
 // programs that run side by side were then given the same ones: 3 of 48 starts failed with eight at
@@ -53,14 +53,14 @@
 int nextPort()
 {
     static int block = -1;
-    static int used = portsOfBlock;
-    if (used == portsOfBlock) {
+    static int used = portsPerBlock;
+    if (used == portsPerBlock) {
         do {
-            REQUIRE(++block < blocks);
+            REQUIRE(++block < blockCount);
         } while (!lockBlock(block));
         used = 0;
     }
-    return firstPort + block * portsOfBlock + used++;
+    return firstPort + block * portsPerBlock + used++;
 }
 
 } // namespace
