--- a/test/fleet.cc
+++ b/test/fleet.cc
@@ -44,7 +44,7 @@
             return;
         std::this_thread::sleep_for(20ms);
     }
-    FAIL("never: " << what << (evidence ? "; " + evidence() : ""));
+    FAIL("timed out waiting until " << what << (evidence ? "; " + evidence() : ""));
 }
 
 Fleet::Fleet(FleetShape shape) : m_shape(std::move(shape))
@@ -155,7 +155,7 @@
     for (const auto &[name, ports] : m_ports)
         start(name);
     ConfigAdmin admin(*m_store);
-    eventually("the store takes the configuration", [&] {
+    eventually("the store accepts the configuration", [&] {
         const auto applied = admin.apply(document(), std::nullopt);
         if (applied.status().code() == absl::StatusCode::kInvalidArgument)
             FAIL(std::string(applied.status().message()));
@@ -163,8 +163,8 @@
     });
     for (const std::string &name : instanceNames())
         waitReady(name);
-    // Every instance knows every other and the load of every other region, so that a test starts
-    // from a settled fleet.
+    // Waits until every instance knows all others and the loads of all other regions, so that each
+    // test starts with a settled fleet.
     for (const std::string &name : instanceNames()) {
         std::string missing;
         eventually(
@@ -204,7 +204,7 @@
         regions.insert(region["region"].get<std::string>());
     }
     if (regions.size() + 1 != static_cast<std::size_t>(m_shape.regions))
-        missing += fmt::format("{} regions told of; ", regions.size());
+        missing += fmt::format("loads of {} other regions known; ", regions.size());
     return missing.empty() ? "" : missing + "status: " + text;
 }
 
--- a/test/fleet.h
+++ b/test/fleet.h
@@ -1,4 +1,5 @@
-// Real processes for tests: a store, backend servers and entry instances on free loopback ports.
+// Starts real processes for tests: a store, backend servers and entry instances on free loopback
+// ports.
 #pragma once
 
 #include <sys/types.h>
@@ -19,14 +20,14 @@
 struct FleetShape
 {
     int regions = 1; // named a, b, c
-    int instances = 2; // in each region: a1, a2
-    int models = 2; // in each region: a-m1, a-m2
-    int applications = 1; // in each region: a-a1
-    int tokenMs = 5;
-    std::string extraBaseText{}; // more lines for the base file
+    int instances = 2; // per region, named a1, a2
+    int models = 2; // model engines per region, named a-m1, a-m2
+    int applications = 1; // application engines per region, named a-a1
+    int tokenMs = 5; // time that a model engine takes per token
+    std::string extraBaseText{}; // lines appended to the base file
 };
 
-// Three answers that matter of a reply, for short tests.
+// The parts of an instance's answer that tests check.
 struct Reply
 {
     int status = 0;
@@ -58,9 +59,12 @@
     std::string peers(const std::string &entry) const { return address(entry, 1); }
     std::string address(const std::string &name, int portIndex = 0) const;
 
-    // mode=... of a stand-in.
+    // Makes the store or a backend server fail in the given mode; count limits the affected
+    // requests.
     void setFault(const std::string &standin, const std::string &mode, int count = 0);
+    // Returns how often the engine has run each booking key.
     std::map<std::string, int> runCounts(const std::string &engine);
+    // Returns how often all running application engines have run a booking key.
     int totalRuns(const std::string &key);
 
     Reply send(OutgoingRequest request);
@@ -68,6 +72,7 @@
                const std::string &text = "hello", const std::string &token = "free-token");
     Reply book(const std::string &entry, const std::string &key,
                const std::string &body = "{\"n\":1}", const std::string &token = "free-token");
+    // Sends an idempotent request for the service "status".
     Reply readStatus(const std::string &entry, const std::string &token = "free-token");
     OutgoingRequest chatRequest(const std::string &entry, bool stream, int tokens,
                                 const std::string &text, const std::string &token) const;
@@ -76,10 +81,11 @@
 
     std::string callerKey();
     std::string issuedKey(const std::string &entry);
+    // Returns the body of /admin/status.
     std::string adminStatus(const std::string &entry);
     std::uint64_t configVersion(const std::string &entry);
 
-    // The first document, and a changed copy of what is in force.
+    // Returns the configuration with which the fleet starts.
     ConfigDocument document() const;
     Store &store() { return *m_store; }
     HttpClient &client() { return m_client; }
@@ -88,8 +94,8 @@
 private:
     void assignPorts();
     void startAll();
-    // What the instance does not know yet of a settled fleet, with its status page; empty if
-    // nothing.
+    // Returns what the instance's status lacks of a settled fleet, followed by the status; empty if
+    // the instance knows everything.
     std::string describeMissing(const std::string &entry);
     std::string endedProcesses();
     std::vector<std::string> makeCommand(const std::string &name) const;
@@ -104,8 +110,8 @@
     std::unique_ptr<Store> m_store;
 };
 
-// Polls until the condition holds; fails the test if it does not within a minute, and then tells
-// the evidence.
+// Polls until the condition holds. Fails the test if it doesn't hold within a minute, with the
+// evidence in the message.
 void eventually(const std::string &what, const std::function<bool()> &condition,
                 const std::function<std::string()> &evidence = {});
 
--- a/test/free-ports.cc
+++ b/test/free-ports.cc
@@ -15,15 +15,15 @@
 
 namespace {
 
-// Below the ports that the system gives to outgoing connections, and above those of quickstart.
+// Below the ports that the system assigns to outgoing connections, and above those of quickstart.
 constexpr int firstPort = 21000;
 constexpr int lastPort = 32000;
 constexpr int portsPerBlock = 64;
 constexpr int blockCount = (lastPort - firstPort) / portsPerBlock;
 
-// Ports found by binding to 0 are given back before the tested program binds them, and test
-// programs that run side by side were then given the same ones: 3 of 48 starts failed with eight at
-// a time. So each program locks blocks of ports, until it ends, by files that all of them know.
+// Locks a block of ports for this program until it exits, by a file that all test programs use.
+// Ports found by binding to port 0 are released before the tested program binds them, so concurrent
+// test programs can get the same ones: 3 of 48 starts failed with eight programs at a time.
 bool lockBlock(int block)
 {
     const auto path = std::filesystem::temp_directory_path()
@@ -49,7 +49,7 @@
     return bound;
 }
 
-// The next port of this program's blocks.
+// Returns the next port of the blocks that this program has locked.
 int nextPort()
 {
     static int block = -1;
--- a/test/free-ports.h
+++ b/test/free-ports.h
@@ -1,4 +1,4 @@
-// Ports for tests that listen on loopback.
+// Loopback ports for tests.
 #pragma once
 
 #include <cstddef>
@@ -7,7 +7,7 @@
 
 namespace ibisnotch {
 
-// All different, and not given to another test program while this one runs.
+// Returns distinct free ports. No other test program gets any of them while this one runs.
 std::vector<std::uint16_t> freePorts(std::size_t count);
 
 } // namespace ibisnotch
