--- a/include/ibisnotch/region-choice.h
+++ b/include/ibisnotch/region-choice.h
@@ -36,8 +36,8 @@
 // The time that a request would wait for a slot.
 double waitSeconds(double slots, double outstanding, double expectedSeconds);
 
-RegionLoad summarize(const std::string &region, const std::string &loadName,
-                     std::span<const Candidate> candidates);
+RegionLoad summarizeLoad(const std::string &region, const std::string &loadKey,
+                         std::span<const Candidate> candidates);
 
 // Keeps the latest summary of each other region, corrected by what was sent there and came
 // back since.
@@ -45,8 +45,8 @@
 {
 public:
     void onLoad(const RegionLoad &load, TimePoint now);
-    void onSentAway(const std::string &region, const std::string &service);
-    void onBack(const std::string &region, const std::string &service);
+    void onForwarded(const std::string &region, const std::string &service);
+    void onForwardedFinished(const std::string &region, const std::string &service);
     std::optional<RegionLoad> find(const std::string &region, const std::string &service,
                                    TimePoint now) const;
     // All summaries that still count, with their ages.
@@ -57,38 +57,38 @@
     {
         RegionLoad load;
         TimePoint at;
-        double underWay = 0; // sent since the summary, less those that came back
+        double forwardedSince = 0; // sent since the summary, less those that came back
     };
     mutable std::mutex m_mutex;
     std::map<std::pair<std::string, std::string>, Entry> m_entries;
 };
 
-struct RegionQuestion
+struct RegionChoiceInput
 {
-    std::string home;
+    std::string localRegion;
     std::vector<std::string> allowed; // by residency; may lack the home region
     std::vector<std::string> reachable; // regions with an entry instance that is alive
     const Service *service = nullptr;
-    std::string loadName; // under which the regions' loads are kept
-    RegionLoad homeLoad;
+    std::string loadKey; // under which the regions' loads are kept
+    RegionLoad localLoad;
     Weights weights;
-    Duration oneWay{};
+    Duration oneWayDelay{};
     Duration awayMargin{};
     // Where a server holds the parts that the prompt shares with others; empty: anywhere.
-    std::string holder;
+    std::string holderRegion;
     double sharedReadSeconds = 0; // in which another server reads those parts
-    double besideAtHome = 0; // requests that run at a server of the region, on average
-    bool homeRefuses = false; // admission would refuse the request at home
-    bool mayForward = true; // false once the request has changed regions
+    double localRunningPerServer = 0; // requests that run at a server of the region, on average
+    bool localRejects = false; // admission would refuse the request at home
+    bool canForward = true; // false once the request has changed regions
 };
 
-struct RegionAnswer
+struct RegionDecision
 {
     // Empty: no region can take it now.
     std::optional<std::string> region;
     double waitSeconds = 0;
     bool residencyForbids = false; // nowhere this instance may send it
-    bool operator==(const RegionAnswer &) const = default;
+    bool operator==(const RegionDecision &) const = default;
 };
 
 // Compares the wait at home with the way and the wait elsewhere. Away must win by a margin that the
@@ -97,12 +97,12 @@
 class RegionChooser
 {
 public:
-    RegionAnswer choose(const RegionQuestion &question, const RegionTable &table, TimePoint now,
-                        Random &random);
+    RegionDecision choose(const RegionChoiceInput &input, const RegionTable &table, TimePoint now,
+                          Random &random);
 
 private:
     std::mutex m_mutex;
-    std::map<std::string, bool> m_sendingAway; // by service
+    std::map<std::string, bool> m_forwarding; // by service
 };
 
 } // namespace ibisnotch
--- a/src/decide/region-choice.cc
+++ b/src/decide/region-choice.cc
@@ -7,10 +7,10 @@
 
 namespace {
 
-constexpr Duration summaryLife = std::chrono::seconds(15);
+constexpr Duration summaryMaxAge = std::chrono::seconds(15);
 // What the way to a prompt's shared parts and the wait there may take of its target; the rest of
 // the prompt is still to be read.
-constexpr double mostOfTarget = 0.5;
+constexpr double maxTargetFraction = 0.5;
 
 std::uint32_t ageMilliseconds(TimePoint at, TimePoint now)
 {
@@ -25,7 +25,7 @@
 
 // How much the margin counts under a deployment's weights: sending away costs share and link, so a
 // deployment that weighs those more asks for a longer wait at home first.
-double shareAgainst(const Weights &weights)
+double forwardingCostShare(const Weights &weights)
 {
     const double against = weights.sentAway + weights.cost;
     const double total = against + weights.tailLatency;
@@ -35,11 +35,11 @@
 // The wait at home must exceed the way and the wait elsewhere by this. A region with free slots may
 // be used early, since nobody there waits longer for it; one that has a queue itself only late, or
 // regions that are all full hand their requests round.
-double marginSeconds(const RegionQuestion &question, bool freeSlots)
+double marginSeconds(const RegionChoiceInput &input, bool freeSlots)
 {
     constexpr double strongest = 4;
-    const double against = shareAgainst(question.weights);
-    const double whole = seconds(question.awayMargin) * strongest * against;
+    const double against = forwardingCostShare(input.weights);
+    const double whole = seconds(input.awayMargin) * strongest * against;
     return freeSlots ? whole * against * against * against : whole;
 }
 
@@ -53,10 +53,10 @@
     return waiting / slots * expectedSeconds;
 }
 
-RegionLoad summarize(const std::string &region, const std::string &loadName,
-                     std::span<const Candidate> candidates)
+RegionLoad summarizeLoad(const std::string &region, const std::string &loadKey,
+                         std::span<const Candidate> candidates)
 {
-    RegionLoad load{region, loadName, 0, 0, 0, 0, 0};
+    RegionLoad load{region, loadKey, 0, 0, 0, 0, 0};
     int paced = 0;
     for (const Candidate &candidate : candidates) {
         load.slots += candidate.slots;
@@ -80,20 +80,20 @@
     entry = {load, at, 0};
 }
 
-void RegionTable::onSentAway(const std::string &region, const std::string &service)
+void RegionTable::onForwarded(const std::string &region, const std::string &service)
 {
     const std::lock_guard lock(m_mutex);
     const auto found = m_entries.find({region, service});
     if (found != m_entries.end())
-        found->second.underWay += 1;
+        found->second.forwardedSince += 1;
 }
 
-void RegionTable::onBack(const std::string &region, const std::string &service)
+void RegionTable::onForwardedFinished(const std::string &region, const std::string &service)
 {
     const std::lock_guard lock(m_mutex);
     const auto found = m_entries.find({region, service});
     if (found != m_entries.end())
-        found->second.underWay -= 1;
+        found->second.forwardedSince -= 1;
 }
 
 std::optional<RegionLoad> RegionTable::find(const std::string &region, const std::string &service,
@@ -101,10 +101,10 @@
 {
     const std::lock_guard lock(m_mutex);
     const auto found = m_entries.find({region, service});
-    if (found == m_entries.end() || found->second.at + summaryLife <= now)
+    if (found == m_entries.end() || found->second.at + summaryMaxAge <= now)
         return std::nullopt;
     RegionLoad load = found->second.load;
-    load.outstanding = std::max(0.0, load.outstanding + found->second.underWay);
+    load.outstanding = std::max(0.0, load.outstanding + found->second.forwardedSince);
     load.ageMs = ageMilliseconds(found->second.at, now);
     return load;
 }
@@ -114,7 +114,7 @@
 // The part of the requests to send away, by how much shorter the wait is there. News of waits is
 // half a second old, so a region that sent everything would find the other one behind and send
 // everything back.
-double partSentAway(double gainSeconds)
+double forwardedFraction(double gainSeconds)
 {
     constexpr double wholeGain = 0.5;
     constexpr double leastPart = 0.1;
@@ -126,28 +126,28 @@
 // prompt goes to the region where a server holds them, whichever region its caller is in: while
 // that region has free slots, if the way costs the caller less than reading would cost all of them,
 // and if its first token is still in time.
-std::optional<RegionAnswer> holderWithRoom(const RegionQuestion &question, const RegionTable &table,
-                                           TimePoint now)
+std::optional<RegionDecision> chooseHolderRegion(const RegionChoiceInput &input,
+                                                 const RegionTable &table, TimePoint now)
 {
-    const std::string &holder = question.holder;
-    if (holder.empty() || holder == question.home)
+    const std::string &holder = input.holderRegion;
+    if (holder.empty() || holder == input.localRegion)
         return std::nullopt;
-    const bool open = question.mayForward && contains(question.allowed, holder)
-        && contains(question.reachable, holder);
+    const bool open
+        = input.canForward && contains(input.allowed, holder) && contains(input.reachable, holder);
     if (!open)
         return std::nullopt;
-    const auto load = table.find(holder, question.loadName, now);
+    const auto load = table.find(holder, input.loadKey, now);
     if (!load || load->outstanding + 1 > load->slots)
         return std::nullopt;
-    const double there = load->readDelaySeconds + 2 * seconds(question.oneWay);
-    const double atHome = question.homeLoad.slots > 0 ? question.homeLoad.readDelaySeconds
-            + question.sharedReadSeconds * (1 + question.besideAtHome)
-                                                      : std::numeric_limits<double>::infinity();
-    const double target = seconds(question.service->targetLatency);
-    const bool late = target > 0 && there > mostOfTarget * target;
-    if (late || there > atHome + marginSeconds(question, true))
+    const double there = load->readDelaySeconds + 2 * seconds(input.oneWayDelay);
+    const double atHome = input.localLoad.slots > 0 ? input.localLoad.readDelaySeconds
+            + input.sharedReadSeconds * (1 + input.localRunningPerServer)
+                                                    : std::numeric_limits<double>::infinity();
+    const double target = seconds(input.service->targetLatency);
+    const bool late = target > 0 && there > maxTargetFraction * target;
+    if (late || there > atHome + marginSeconds(input, true))
         return std::nullopt;
-    return RegionAnswer{holder, 2 * seconds(question.oneWay), false};
+    return RegionDecision{holder, 2 * seconds(input.oneWayDelay), false};
 }
 
 } // namespace
@@ -157,7 +157,7 @@
     const std::lock_guard lock(m_mutex);
     std::vector<RegionLoad> loads;
     for (const auto &[key, entry] : m_entries) {
-        if (entry.at + summaryLife <= now)
+        if (entry.at + summaryMaxAge <= now)
             continue;
         loads.push_back(entry.load);
         loads.back().ageMs = ageMilliseconds(entry.at, now);
@@ -165,26 +165,27 @@
     return loads;
 }
 
-RegionAnswer RegionChooser::choose(const RegionQuestion &question, const RegionTable &table,
-                                   TimePoint now, Random &random)
+RegionDecision RegionChooser::choose(const RegionChoiceInput &input, const RegionTable &table,
+                                     TimePoint now, Random &random)
 {
-    const double expected = seconds(question.service->expectedDuration);
-    const bool homeAllowed = contains(question.allowed, question.home);
-    if (question.allowed.empty() || (!homeAllowed && !question.mayForward))
+    const double expected = seconds(input.service->expectedDuration);
+    const bool localAllowed = contains(input.allowed, input.localRegion);
+    if (input.allowed.empty() || (!localAllowed && !input.canForward))
         return {std::nullopt, 0, true};
-    const double slotWait
-        = waitSeconds(question.homeLoad.slots, question.homeLoad.outstanding, expected);
-    const double homeWait = std::max(slotWait, question.homeLoad.readDelaySeconds);
-    RegionAnswer best;
+    const double localSlotWaitSeconds
+        = waitSeconds(input.localLoad.slots, input.localLoad.outstanding, expected);
+    const double localWaitSeconds
+        = std::max(localSlotWaitSeconds, input.localLoad.readDelaySeconds);
+    RegionDecision best;
     std::optional<std::string> unknown; // a region of which no load has been heard
-    double bestAway = std::numeric_limits<double>::infinity();
-    bool bestIsFree = false;
-    for (const std::string &region : question.allowed) {
-        const bool open = question.mayForward && region != question.home
-            && contains(question.reachable, region);
+    double bestRemoteSeconds = std::numeric_limits<double>::infinity();
+    bool bestHasFreeSlots = false;
+    for (const std::string &region : input.allowed) {
+        const bool open
+            = input.canForward && region != input.localRegion && contains(input.reachable, region);
         if (!open)
             continue;
-        const auto load = table.find(region, question.loadName, now);
+        const auto load = table.find(region, input.loadKey, now);
         if (!load)
             unknown = region;
         if (!load || load->slots <= 0)
@@ -193,37 +194,38 @@
         const double noise = random.uniform() * 0.01;
         const double there = std::max(waitSeconds(load->slots, load->outstanding, expected),
                                       load->readDelaySeconds);
-        const double away = there + 2 * seconds(question.oneWay) + noise;
-        if (away < bestAway) {
-            bestAway = away;
+        const double away = there + 2 * seconds(input.oneWayDelay) + noise;
+        if (away < bestRemoteSeconds) {
+            bestRemoteSeconds = away;
             best = {region, away, false};
-            bestIsFree = load->outstanding + 1 <= load->slots;
+            bestHasFreeSlots = load->outstanding + 1 <= load->slots;
         }
     }
-    if (const auto holder = holderWithRoom(question, table, now))
+    if (const auto holder = chooseHolderRegion(input, table, now))
         return *holder;
-    const bool homeRuns = homeAllowed && question.homeLoad.slots > 0;
+    const bool localCanRun = localAllowed && input.localLoad.slots > 0;
     // An instance that has just started knows its peers before their loads. They can refuse
     // themselves, but a refusal here would be for nothing.
-    if (!best.region && !homeRuns && unknown)
-        return {unknown, 2 * seconds(question.oneWay), false};
-    if (!homeAllowed)
+    if (!best.region && !localCanRun && unknown)
+        return {unknown, 2 * seconds(input.oneWayDelay), false};
+    if (!localAllowed)
         return best;
     const std::lock_guard lock(m_mutex);
-    bool &sendingAway = m_sendingAway[question.loadName];
-    const double whole = marginSeconds(question, bestIsFree);
-    const double margin = sendingAway ? whole / 2 : whole;
-    sendingAway = best.region && homeWait > bestAway + margin;
+    bool &forwarding = m_forwarding[input.loadKey];
+    const double whole = marginSeconds(input, bestHasFreeSlots);
+    const double margin = forwarding ? whole / 2 : whole;
+    forwarding = best.region && localWaitSeconds > bestRemoteSeconds + margin;
     // A refusal at home is worse for the caller than the way to a region with room.
-    const bool rescued = best.region && bestIsFree && question.homeRefuses;
-    const bool byDelay = sendingAway && slotWait <= bestAway + margin;
-    if (byDelay && random.uniform() >= partSentAway(homeWait - bestAway - margin))
-        return {question.home, homeWait, false};
-    if (sendingAway || rescued)
+    const bool avoidsRejection = best.region && bestHasFreeSlots && input.localRejects;
+    const bool byReadDelay = forwarding && localSlotWaitSeconds <= bestRemoteSeconds + margin;
+    if (byReadDelay
+        && random.uniform() >= forwardedFraction(localWaitSeconds - bestRemoteSeconds - margin))
+        return {input.localRegion, localWaitSeconds, false};
+    if (forwarding || avoidsRejection)
         return best;
-    if (!homeRuns)
+    if (!localCanRun)
         return {};
-    return {question.home, homeWait, false};
+    return {input.localRegion, localWaitSeconds, false};
 }
 
 } // namespace ibisnotch
--- a/src/entry/control-loads.cc
+++ b/src/entry/control-loads.cc
@@ -58,7 +58,7 @@
         removeCold(candidates, now);
         addEngineEstimates(candidates, m_state.prompts.mean(loadName), now);
         if (loads.size() < regionLoadsPerMessage)
-            loads.push_back(summarize(m_state.settings.region, loadName, candidates));
+            loads.push_back(summarizeLoad(m_state.settings.region, loadName, candidates));
     };
     for (const auto &[name, pool] : config.pools)
         add(name, candidatesForPool(table, name));
--- a/src/entry/dispatch-plan.cc
+++ b/src/entry/dispatch-plan.cc
@@ -135,45 +135,45 @@
     const FleetConfig &config = m_exchange->config();
     const auto candidates = candidatesIn(*table);
 
-    RegionQuestion question;
-    question.home = m_state.settings.region;
-    question.allowed = m_exchange->allowedRegions;
+    RegionChoiceInput input;
+    input.localRegion = m_state.settings.region;
+    input.allowed = m_exchange->allowedRegions;
     for (const Member &member : *members) {
         const bool usable = member.state == MemberState::alive && m_tried.count(member.name) == 0
             && canForwardTo(m_exchange->path, m_state.hop(), {member.name, member.region});
         if (usable)
-            question.reachable.push_back(member.region);
+            input.reachable.push_back(member.region);
     }
-    question.service = &service;
-    question.loadName = loadName(*m_exchange);
-    question.homeLoad = summarize(question.home, loadName(*m_exchange), candidates);
-    question.weights = config.weights;
-    question.oneWay = config.regionOneWay;
-    question.awayMargin = config.limits.awayMargin;
-    question.mayForward
+    input.service = &service;
+    input.loadKey = loadName(*m_exchange);
+    input.localLoad = summarizeLoad(input.localRegion, loadName(*m_exchange), candidates);
+    input.weights = config.weights;
+    input.oneWayDelay = config.regionOneWay;
+    input.awayMargin = config.limits.awayMargin;
+    input.canForward
         = !m_stayHome && (!m_exchange->fromPeer || regionChanges(m_exchange->path) == 0);
     if (m_exchange->prefixHash != 0 && !m_exchange->pool.empty())
-        question.holder = affinityRegion(*table, candidates, question.home, m_exchange->pool,
-                                         question.allowed, m_exchange->prefixHash);
-    question.sharedReadSeconds = sharedReadSeconds(candidates);
+        input.holderRegion = affinityRegion(*table, candidates, input.localRegion, m_exchange->pool,
+                                            input.allowed, m_exchange->prefixHash);
+    input.sharedReadSeconds = sharedReadSeconds(candidates);
     if (!candidates.empty())
-        question.besideAtHome
-            = question.homeLoad.outstanding / static_cast<double>(candidates.size());
+        input.localRunningPerServer
+            = input.localLoad.outstanding / static_cast<double>(candidates.size());
     // A caller that has a part of its stream is not turned away for the rest.
     admit = admit && m_exchange->lastEventId.empty();
-    question.homeRefuses = admit && !m_admitted
-        && m_state.admission.ask(admissionQuestion(question.homeLoad, false), m_state.random).code
+    input.localRejects = admit && !m_admitted
+        && m_state.admission.ask(admissionQuestion(input.localLoad, false), m_state.random).code
             != ResultCode::served;
-    const RegionAnswer answer
-        = m_state.chooser.choose(question, m_state.regions, now, m_state.random);
+    const RegionDecision answer
+        = m_state.chooser.choose(input, m_state.regions, now, m_state.random);
     if (answer.residencyForbids)
         return Refusal{ResultCode::residencyForbids, "", {}};
     if (!answer.region)
         return Refusal{ResultCode::noBackendServer, "",
                        spreadRetryAfter(noServerPause, m_state.random)};
-    const bool away = *answer.region != question.home;
+    const bool away = *answer.region != input.localRegion;
     m_inputs = {};
-    m_inputs.home = question.homeLoad;
+    m_inputs.home = input.localLoad;
     m_inputs.listRevision = table->list.revision;
     if (table->list.confirmedAt != TimePoint{})
         m_inputs.listAge = now - table->list.confirmedAt;
@@ -182,7 +182,7 @@
     if (away)
         m_inputs.away = m_state.regions.find(*answer.region, loadName(*m_exchange), now);
     if (admit && !m_admitted) {
-        const RegionLoad load = away ? m_inputs.away.value_or(RegionLoad{}) : question.homeLoad;
+        const RegionLoad load = away ? m_inputs.away.value_or(RegionLoad{}) : input.localLoad;
         const AdmissionAnswer admission
             = m_state.admission.ask(admissionQuestion(load, away), m_state.random);
         if (admission.code != ResultCode::served)
@@ -199,28 +199,28 @@
 AdmissionQuestion Dispatch::admissionQuestion(const RegionLoad &load, bool away) const
 {
     const FleetConfig &config = m_exchange->config();
-    AdmissionQuestion question;
-    question.customer = m_exchange->customer;
-    question.service = m_exchange->service;
-    question.priority = m_exchange->priority;
-    question.slots = load.slots;
-    question.outstanding = load.outstanding;
-    question.queueFactor = config.limits.queueFactor;
+    AdmissionQuestion input;
+    input.customer = m_exchange->customer;
+    input.service = m_exchange->service;
+    input.priority = m_exchange->priority;
+    input.slots = load.slots;
+    input.outstanding = load.outstanding;
+    input.queueFactor = config.limits.queueFactor;
     for (const auto &[name, service] : config.services)
-        question.highestWorth = std::max(question.highestWorth, service.worth);
-    question.lateIsUndelivered = config.weights.lateIsUndelivered;
-    question.way = away ? 2 * config.regionOneWay : Duration(0);
-    question.remaining = remaining();
-    question.firstDelay = m_exchange->prompt.tokens > 0 ? load.readDelaySeconds : 0;
+        input.highestWorth = std::max(input.highestWorth, service.worth);
+    input.lateIsUndelivered = config.weights.lateIsUndelivered;
+    input.way = away ? 2 * config.regionOneWay : Duration(0);
+    input.remaining = remaining();
+    input.firstDelay = m_exchange->prompt.tokens > 0 ? load.readDelaySeconds : 0;
     if (m_exchange->prompt.tokens > 0) {
         const TimePoint now = m_state.clock.now();
         const std::string &pool = loadName(*m_exchange);
-        question.eventIntervalSeconds = load.eventIntervalSeconds;
-        question.bearableSeconds = m_state.habits.bearableSeconds(pool, now);
-        question.lessUrgent = m_state.habits.lessUrgent(pool, question.priority, now);
+        input.eventIntervalSeconds = load.eventIntervalSeconds;
+        input.bearableSeconds = m_state.habits.bearableSeconds(pool, now);
+        input.lessUrgent = m_state.habits.lessUrgent(pool, input.priority, now);
     }
-    question.draw = m_draw;
-    return question;
+    input.draw = m_draw;
+    return input;
 }
 
 Dispatch::Plan Dispatch::planAway(const std::string &region)
--- a/src/entry/dispatch.cc
+++ b/src/entry/dispatch.cc
@@ -314,7 +314,7 @@
     m_servedBy = target.name;
     if (target.isPeer && target.region != m_state.settings.region) {
         m_sentAway = true;
-        m_state.regions.onSentAway(target.region, loadName(*m_exchange));
+        m_state.regions.onForwarded(target.region, loadName(*m_exchange));
     }
     if (target.counters) {
         if (m_attempts == 1)
@@ -339,7 +339,7 @@
     trace(fmt::format("attempt {} at {}: {}", m_attempts, target.name, attemptEndName(end)));
     if (target.isPeer) {
         if (target.region != m_state.settings.region)
-            m_state.regions.onBack(target.region, loadName(*m_exchange));
+            m_state.regions.onForwardedFinished(target.region, loadName(*m_exchange));
         return;
     }
     const Duration taken = m_state.clock.now() - m_attemptStarted;
--- a/src/experiment/experiment.cc
+++ b/src/experiment/experiment.cc
@@ -230,31 +230,31 @@
         Entry &entry = *m_entries[region][call->entry];
         const TimePoint now = at(m_now);
         const auto candidates = candidatesForService(entry.table, *call->service, {});
-        RegionQuestion question;
-        question.home = regionName(region);
-        question.allowed = {"a", "b", "c"};
-        question.reachable = {"a", "b", "c"};
+        RegionChoiceInput input;
+        input.localRegion = regionName(region);
+        input.allowed = {"a", "b", "c"};
+        input.reachable = {"a", "b", "c"};
         if (m_setup.loseRegion && m_now > lossAt)
-            question.reachable = {"b", "c"};
-        question.service = call->service;
-        question.loadName = call->service->name;
-        question.homeLoad = summarize(question.home, question.loadName, candidates);
-        question.weights = m_setup.weights;
-        question.oneWay = std::chrono::milliseconds(80);
+            input.reachable = {"b", "c"};
+        input.service = call->service;
+        input.loadKey = call->service->name;
+        input.localLoad = summarizeLoad(input.localRegion, input.loadKey, candidates);
+        input.weights = m_setup.weights;
+        input.oneWayDelay = std::chrono::milliseconds(80);
         const Spreading spreading = m_setup.policy.spreading;
-        question.awayMargin = std::chrono::milliseconds(spreading == Spreading::eager ? 0 : 200);
-        question.mayForward = mayForward && spreading != Spreading::home;
-        question.homeRefuses = !admitted(entry, *call, question.homeLoad);
-        const RegionAnswer answer = entry.chooser.choose(question, entry.regions, now, m_random);
+        input.awayMargin = std::chrono::milliseconds(spreading == Spreading::eager ? 0 : 200);
+        input.canForward = mayForward && spreading != Spreading::home;
+        input.localRejects = !admitted(entry, *call, input.localLoad);
+        const RegionDecision answer = entry.chooser.choose(input, entry.regions, now, m_random);
         if (!answer.region || candidates.empty())
             return refuse(*call);
-        if (*answer.region != question.home) {
-            entry.regions.onSentAway(*answer.region, call->service->name);
+        if (*answer.region != input.localRegion) {
+            entry.regions.onForwarded(*answer.region, call->service->name);
             const int to = (*answer.region)[0] - 'a';
             plan(oneWay, [this, call, to] { decide(call, to, false); });
             return;
         }
-        if (!admitted(entry, *call, question.homeLoad))
+        if (!admitted(entry, *call, input.localLoad))
             return refuse(*call);
         dispatch(entry, call, region, candidates);
     }
@@ -263,18 +263,18 @@
     {
         if (!m_setup.policy.admission)
             return true;
-        AdmissionQuestion question;
-        question.customer = &m_customer;
-        question.service = call.service;
-        question.priority = call.service->priority;
-        question.highestWorth = m_setup.policy.byWorth ? m_valuable.worth : 0;
-        question.slots = load.slots;
-        question.outstanding = load.outstanding;
-        question.queueFactor = 4;
-        question.lateIsUndelivered = m_setup.weights.lateIsUndelivered;
-        question.remaining = std::chrono::duration_cast<Duration>(
+        AdmissionQuestion input;
+        input.customer = &m_customer;
+        input.service = call.service;
+        input.priority = call.service->priority;
+        input.highestWorth = m_setup.policy.byWorth ? m_valuable.worth : 0;
+        input.slots = load.slots;
+        input.outstanding = load.outstanding;
+        input.queueFactor = 4;
+        input.lateIsUndelivered = m_setup.weights.lateIsUndelivered;
+        input.remaining = std::chrono::duration_cast<Duration>(
             std::chrono::duration<double>(call.deadline - m_now));
-        return entry.admission.ask(question, m_random).code == ResultCode::served;
+        return entry.admission.ask(input, m_random).code == ResultCode::served;
     }
 
     void refuse(const Call &call)
@@ -364,7 +364,7 @@
         }
         const auto candidates = candidatesForService(m_entries[region][0]->table, m_plain, {});
         for (const Service *service : {&m_plain, &m_valuable})
-            publish(region, summarize(regionName(region), service->name, candidates));
+            publish(region, summarizeLoad(regionName(region), service->name, candidates));
     }
 
     void publish(int region, const RegionLoad &summary)
--- a/test/region-choice-test.cc
+++ b/test/region-choice-test.cc
@@ -16,26 +16,26 @@
     RegionTable table;
     RegionChooser chooser;
     Random random{1};
-    RegionQuestion question;
+    RegionChoiceInput input;
     TimePoint now{1h};
 
     RegionFixture()
     {
         service.name = "s";
         service.expectedDuration = 400ms;
-        question.home = "a";
-        question.allowed = {"a", "b", "c"};
-        question.reachable = {"b", "c"};
-        question.service = &service;
-        question.loadName = service.name;
-        question.homeLoad = {"a", "s", 8, 0, 0};
-        question.oneWay = 80ms;
-        question.awayMargin = 200ms;
+        input.localRegion = "a";
+        input.allowed = {"a", "b", "c"};
+        input.reachable = {"b", "c"};
+        input.service = &service;
+        input.loadKey = service.name;
+        input.localLoad = {"a", "s", 8, 0, 0};
+        input.oneWayDelay = 80ms;
+        input.awayMargin = 200ms;
         table.onLoad({"b", "s", 8, 0, 0}, now);
         table.onLoad({"c", "s", 8, 6, 0}, now);
     }
 
-    RegionAnswer choose() { return chooser.choose(question, table, now, random); }
+    RegionDecision choose() { return chooser.choose(input, table, now, random); }
 };
 
 } // namespace
@@ -48,23 +48,23 @@
         RegionFixture fixture;
         const auto regions = rc::gen::container<std::vector<std::string>>(
             rc::gen::element<std::string>("a", "b", "c"));
-        fixture.question.allowed = *regions;
-        fixture.question.reachable = *regions;
-        fixture.question.mayForward = *rc::gen::arbitrary<bool>();
-        fixture.question.homeLoad.slots = *rc::gen::inRange(0, 9);
-        fixture.question.homeLoad.outstanding = *rc::gen::inRange(0, 100);
+        fixture.input.allowed = *regions;
+        fixture.input.reachable = *regions;
+        fixture.input.canForward = *rc::gen::arbitrary<bool>();
+        fixture.input.localLoad.slots = *rc::gen::inRange(0, 9);
+        fixture.input.localLoad.outstanding = *rc::gen::inRange(0, 100);
         for (const char *region : {"b", "c"})
             fixture.table.onLoad({region, "s", double(*rc::gen::inRange(0, 9)),
                                   double(*rc::gen::inRange(0, 100)), 0},
                                  fixture.now + 1s);
         Random random(seed);
-        const RegionAnswer answer
-            = fixture.chooser.choose(fixture.question, fixture.table, fixture.now + 1s, random);
+        const RegionDecision answer
+            = fixture.chooser.choose(fixture.input, fixture.table, fixture.now + 1s, random);
         if (!answer.region)
             return;
-        const auto &allowed = fixture.question.allowed;
+        const auto &allowed = fixture.input.allowed;
         RC_ASSERT(std::find(allowed.begin(), allowed.end(), *answer.region) != allowed.end());
-        if (!fixture.question.mayForward)
+        if (!fixture.input.canForward)
             RC_ASSERT(*answer.region == "a");
     });
 }
@@ -76,29 +76,29 @@
 
 TEST_CASE_METHOD(RegionFixture, "regionChooser_longQueueAtHome_goesToTheFreestRegion")
 {
-    question.homeLoad.outstanding = 60;
+    input.localLoad.outstanding = 60;
     CHECK(choose().region == "b");
-    question.mayForward = false;
+    input.canForward = false;
     CHECK(choose().region == "a");
 }
 
 TEST_CASE_METHOD(RegionFixture, "regionChooser_deploymentThatWeighsSentAway_waitsLonger")
 {
-    question.homeLoad.outstanding = 15; // a wait of 0.4 s at home, 0.16 s of way
-    question.weights = {2, 1, 1, false};
+    input.localLoad.outstanding = 15; // a wait of 0.4 s at home, 0.16 s of way
+    input.weights = {2, 1, 1, false};
     CHECK(choose().region == "b");
     RegionChooser other;
-    question.weights = {1, 2, 2, true};
-    CHECK(other.choose(question, table, now, random).region == "a");
+    input.weights = {1, 2, 2, true};
+    CHECK(other.choose(input, table, now, random).region == "a");
 }
 
 // What the caller sees: an answer from elsewhere in place of a refusal. In what order: its service
 // is worth little, so home would refuse it, while another region has free slots.
 TEST_CASE_METHOD(RegionFixture, "regionChooser_homeWouldRefuse_goesToARegionWithRoom")
 {
-    question.homeRefuses = true;
+    input.localRejects = true;
     CHECK(choose().region == "b");
-    question.allowed = {"a", "c"};
+    input.allowed = {"a", "c"};
     CHECK(choose().region == "c");
     table.onLoad({"c", "s", 8, 9, 0}, now + 1s);
     now += 1s;
@@ -107,20 +107,20 @@
 
 TEST_CASE_METHOD(RegionFixture, "regionChooser_isolatedRegion_servesItsCallers")
 {
-    question.reachable.clear();
-    question.homeLoad.outstanding = 200;
+    input.reachable.clear();
+    input.localLoad.outstanding = 200;
     CHECK(choose().region == "a");
 }
 
 TEST_CASE_METHOD(RegionFixture, "regionChooser_homeWithoutServers_sendsAwayOrSaysSo")
 {
-    question.homeLoad.slots = 0;
+    input.localLoad.slots = 0;
     CHECK(choose().region == "b");
-    question.reachable.clear();
-    const RegionAnswer answer = choose();
+    input.reachable.clear();
+    const RegionDecision answer = choose();
     CHECK_FALSE(answer.region);
     CHECK_FALSE(answer.residencyForbids);
-    question.allowed.clear();
+    input.allowed.clear();
     CHECK(choose().residencyForbids);
 }
 
@@ -137,16 +137,16 @@
 // Why: reading them takes longer than the way to the region that holds them.
 TEST_CASE_METHOD(RegionFixture, "regionChooser_holderElsewhereWithRoom_goesThere")
 {
-    question.holder = "b";
-    question.sharedReadSeconds = 0.2;
+    input.holderRegion = "b";
+    input.sharedReadSeconds = 0.2;
     CHECK(choose().region == "b");
-    question.mayForward = false;
+    input.canForward = false;
     CHECK(choose().region == "a");
-    question.mayForward = true;
+    input.canForward = true;
     table.onLoad({"b", "s", 8, 8, 0}, now + 1s);
     now += 1s;
     CHECK(choose().region == "a");
-    question.holder = "nowhere";
+    input.holderRegion = "nowhere";
     CHECK(choose().region == "a");
 }
 
@@ -156,7 +156,7 @@
 // move with it; only a part goes.
 TEST_CASE_METHOD(RegionFixture, "regionChooser_promptsWaitAtHome_sendsAPartAway")
 {
-    question.weights = {1, 1, 1, false};
+    input.weights = {1, 1, 1, false};
     const auto partAway = [&] {
         int away = 0;
         for (int i = 0; i < 1000; ++i)
@@ -164,11 +164,11 @@
         return away;
     };
     CHECK(partAway() == 0);
-    question.homeLoad.readDelaySeconds = 0.4;
+    input.localLoad.readDelaySeconds = 0.4;
     const int some = partAway();
     CHECK(some > 50);
     CHECK(some < 450);
-    question.homeLoad.readDelaySeconds = 3;
+    input.localLoad.readDelaySeconds = 3;
     CHECK(partAway() > some);
     CHECK(partAway() < 700);
 }
@@ -180,13 +180,13 @@
 TEST_CASE_METHOD(RegionFixture,
                  "regionChooser_manyWouldWaitWhileSharedPartsAreRead_goesToTheHolder")
 {
-    question.weights = {1, 0, 0, false};
+    input.weights = {1, 0, 0, false};
     service.targetLatency = 1s;
-    question.holder = "b";
-    question.sharedReadSeconds = 0.05;
-    question.besideAtHome = 1;
+    input.holderRegion = "b";
+    input.sharedReadSeconds = 0.05;
+    input.localRunningPerServer = 1;
     CHECK(choose().region == "a");
-    question.besideAtHome = 20;
+    input.localRunningPerServer = 20;
     CHECK(choose().region == "b");
     // A first token that would come late there is not worth the servers' time saved.
     table.onLoad({"b", "s", 8, 0, 0, 0.4}, now + 1s);
@@ -196,8 +196,8 @@
 
 TEST_CASE_METHOD(RegionFixture, "regionChooser_holderFurtherBehindThanHome_staysHome")
 {
-    question.holder = "b";
-    question.sharedReadSeconds = 0.2;
+    input.holderRegion = "b";
+    input.sharedReadSeconds = 0.2;
     CHECK(choose().region == "b");
     RegionLoad behind{"b", "s", 8, 0, 0, 2.0};
     table.onLoad(behind, now + 1s);
@@ -209,15 +209,15 @@
 TEST_CASE_METHOD(RegionFixture, "regionChooser_noLoadHeardOfTheOnlyOtherRegion_sendsThere")
 {
     now += 1h;
-    question.allowed = {"b"};
+    input.allowed = {"b"};
     CHECK(choose().region == "b");
-    question.allowed = {"a", "b"};
+    input.allowed = {"a", "b"};
     CHECK(choose().region == "a");
-    question.homeLoad.slots = 0;
+    input.localLoad.slots = 0;
     CHECK(choose().region == "b");
-    question.reachable = {};
+    input.reachable = {};
     CHECK_FALSE(choose().region);
-    question.reachable = {"b"};
+    input.reachable = {"b"};
     table.onLoad({"b", "s", 0, 0, 0}, now);
     CHECK_FALSE(choose().region);
 }
