--- a/include/ibisnotch/admission.h
+++ b/include/ibisnotch/admission.h
@@ -13,7 +13,7 @@
 
 namespace ibisnotch {
 
-struct AdmissionQuestion
+struct AdmissionInput
 {
     const Customer *customer = nullptr;
     const Service *service = nullptr;
@@ -21,39 +21,40 @@
     double slots = 0; // where it would run
     double outstanding = 0;
     double queueFactor = 2;
-    double highestWorth = 0; // of any service; 0 leaves worth out
+    double maxWorth = 0; // of any service; 0 leaves worth out
     bool lateIsUndelivered = false;
-    Duration way{}; // to the region and back
+    Duration roundTrip{}; // to the region and back
     Duration remaining{}; // until the caller's deadline
-    double firstDelay = 0; // seconds before a prompt sent now is read; 0: no prompt
+    double promptReadDelaySeconds = 0; // seconds before a prompt sent now is read; 0: no prompt
     double eventIntervalSeconds
         = 0; // between two events of a stream where it would run; 0: not known
-    double bearableSeconds = 0; // the same, at which streams still end in time; 0: not known
-    int lessUrgent = 0; // services that give way first while streams are too slow
+    double maxEventIntervalSeconds
+        = 0; // the same, at which streams still end in time; 0: not known
+    int lessUrgentServices = 0; // services that give way first while streams are too slow
     // Between 0 and 1, drawn once for a request: the lowest are turned away first, wherever it is
     // asked for.
-    double draw = 1;
+    double rejectionDraw = 1;
 };
 
-struct AdmissionAnswer
+struct AdmissionDecision
 {
     ResultCode code = ResultCode::served; // served: taken
     Duration retryAfter{};
-    bool operator==(const AdmissionAnswer &) const = default;
+    bool operator==(const AdmissionDecision &) const = default;
 };
 
 // A caller refused for lack of capacity is told to come back when the work ahead is done, spread
 // over as long again so that those refused together do not come back together.
-Duration spreadRetryAfter(double waitSeconds, Random &random);
+Duration jitteredRetryAfter(double waitSeconds, Random &random);
 
 // Counts what each customer has in flight here, and decides. Thread safe.
 class Admission
 {
 public:
-    AdmissionAnswer ask(const AdmissionQuestion &question, Random &random);
+    AdmissionDecision decide(const AdmissionInput &input, Random &random);
 
-    void onTaken(const std::string &customer, const std::string &service, double share);
-    void onOver(const std::string &customer, const std::string &service);
+    void onAdmitted(const std::string &customer, const std::string &service, double share);
+    void onFinished(const std::string &customer, const std::string &service);
 
 private:
     struct Usage
@@ -62,7 +63,7 @@
         double share = 1;
     };
 
-    bool overShare(const AdmissionQuestion &question);
+    bool exceedsShare(const AdmissionInput &input);
 
     std::mutex m_mutex;
     std::map<std::string, std::map<std::string, Usage>> m_usage; // service, customer
--- a/include/ibisnotch/server-table.h
+++ b/include/ibisnotch/server-table.h
@@ -68,7 +68,7 @@
     std::atomic<double> tokensPerMs = 0; // the engine's reading rate; 0: not known
     std::atomic<double> msPerWaitingRequest
         = 0; // smoothed, for each request ahead of a prompt; 0: not known
-    // Of streams (stream-pace.h).
+    // Of streams (stream-statistics.h).
     std::atomic<double> eventIntervalSeconds = 0; // smoothed, between two events; 0: not known
     std::atomic<Duration::rep> lastEventAt = 0;
     // For telling a silent server (silence.h): streams that have begun, the last byte from it, and
--- a/include/ibisnotch/stream-pace.h
+++ b/include/ibisnotch/stream-statistics.h
@@ -16,13 +16,13 @@
 // slots are free, but long answers run into their deadlines, and what they took was taken in vain.
 
 // `events` events of one stream came in `taken`.
-void noteEvents(ServerCounters &counters, int events, Duration taken, TimePoint now);
+void recordEvents(ServerCounters &counters, int events, Duration taken, TimePoint now);
 
 // Seconds between two events of a stream there, smoothed; 0 where none came lately.
 double eventIntervalSeconds(const ServerCounters &counters, TimePoint now);
 
 // What an instance has seen of the answers of each pool's services. Thread safe.
-class StreamHabits
+class StreamStatistics
 {
 public:
     // A stream of the service ended whole after this many events.
@@ -32,24 +32,25 @@
 
     // The seconds between two events at which long answers of the pool's services still end before
     // their deadline, and without a pause that makes them late. 0 while nothing is known.
-    double bearableSeconds(const std::string &pool, TimePoint now) const;
+    double maxEventIntervalSeconds(const std::string &pool, TimePoint now) const;
 
     // How many services that use the pool are less urgent than this one.
-    int lessUrgent(const std::string &pool, int priority, TimePoint now) const;
+    int lessUrgentServices(const std::string &pool, int priority, TimePoint now) const;
 
 private:
-    struct Habit
+    struct ServiceStatistics
     {
         std::string pool;
         int priority = 0;
-        double events = 0; // of an answer, smoothed
-        int seen = 0;
-        double bearable = 0; // seconds between two events
+        double meanEvents = 0; // of an answer, smoothed
+        int streams = 0;
+        double maxEventIntervalSeconds = 0; // seconds between two events
         TimePoint at{};
     };
 
     mutable std::mutex m_mutex;
-    std::map<std::pair<std::string, int>, Habit> m_habits; // by service and priority
+    std::map<std::pair<std::string, int>, ServiceStatistics>
+        m_statistics; // by service and priority
 };
 
 } // namespace ibisnotch
--- a/src/decide/pick.cc
+++ b/src/decide/pick.cc
@@ -4,7 +4,7 @@
 
 #include "ibisnotch/hash.h"
 #include "ibisnotch/read-delay.h"
-#include "ibisnotch/stream-pace.h"
+#include "ibisnotch/stream-statistics.h"
 
 namespace ibisnotch {
 
--- a/src/entry/attempt.cc
+++ b/src/entry/attempt.cc
@@ -1,7 +1,7 @@
 #include "attempt.h"
 
 #include "ibisnotch/silence.h"
-#include "ibisnotch/stream-pace.h"
+#include "ibisnotch/stream-statistics.h"
 
 namespace ibisnotch {
 
@@ -66,7 +66,7 @@
     if (events <= 0 || !m_target.counters)
         return;
     if (m_eventsNoted > 0)
-        noteEvents(*m_target.counters, events, m_heard - m_eventAt, m_heard);
+        recordEvents(*m_target.counters, events, m_heard - m_eventAt, m_heard);
     m_eventsNoted += events;
     m_eventAt = m_heard;
 }
--- a/src/entry/chat-pages.cc
+++ b/src/entry/chat-pages.cc
@@ -52,7 +52,7 @@
     if (isReady(m_state))
         return {200, {}, "ready\n"};
     const auto code = m_state.stopping ? ResultCode::stopping : ResultCode::notReady;
-    return refusalResponse(newRequestId(m_state), {code, "", spreadRetryAfter(1, m_state.random)},
+    return refusalResponse(newRequestId(m_state), {code, "", jitteredRetryAfter(1, m_state.random)},
                            m_state.settings.name);
 }
 
@@ -61,7 +61,8 @@
     const auto config = m_state.gate.config();
     const std::string id = newRequestId(m_state);
     if (!config)
-        return refusalResponse(id, {ResultCode::notReady, "", spreadRetryAfter(1, m_state.random)},
+        return refusalResponse(id,
+                               {ResultCode::notReady, "", jitteredRetryAfter(1, m_state.random)},
                                m_state.settings.name);
     const Customer *customer = findCustomer(*config, request);
     if (customer == nullptr)
--- a/src/entry/dispatch-booking.cc
+++ b/src/entry/dispatch-booking.cc
@@ -46,7 +46,7 @@
         return finish(ResultCode::bookingRepeated);
     }
     case IssuedKeyUse::inProgress:
-        return refuse({ResultCode::bookingInProgress, "", spreadRetryAfter(1, m_state.random)});
+        return refuse({ResultCode::bookingInProgress, "", jitteredRetryAfter(1, m_state.random)});
     case IssuedKeyUse::unknown:
         return refuse({ResultCode::outcomeUnknown, "", {}});
     case IssuedKeyUse::bodyMismatch:
@@ -106,9 +106,9 @@
     case ClaimOutcome::bodyMismatch:
         return refuse({ResultCode::bookingKeyReused, "", {}});
     case ClaimOutcome::pageFull:
-        return refuse({ResultCode::claimPageFull, "", spreadRetryAfter(60, m_state.random)});
+        return refuse({ResultCode::claimPageFull, "", jitteredRetryAfter(60, m_state.random)});
     case ClaimOutcome::storeUnreachable:
-        return refuse({ResultCode::storeUnreachable, "", spreadRetryAfter(5, m_state.random)});
+        return refuse({ResultCode::storeUnreachable, "", jitteredRetryAfter(5, m_state.random)});
     }
     m_right = Right::claim;
     trace("claim granted");
@@ -119,7 +119,7 @@
     const Duration life = m_exchange->config().limits.bookingKeyLifetime;
     if (!isKeyAccepted(key, m_state.clock.wallNow(), life) || remaining().count() <= 0) {
         settleNotRun();
-        return refuse({ResultCode::bookingNotRun, "", spreadRetryAfter(1, m_state.random)});
+        return refuse({ResultCode::bookingNotRun, "", jitteredRetryAfter(1, m_state.random)});
     }
     route();
 }
--- a/src/entry/dispatch-end.cc
+++ b/src/entry/dispatch-end.cc
@@ -22,7 +22,7 @@
     // A peer's refusal is true of its own part; an earlier attempt here may have run.
     if (run == RunState::notRun && m_mayHaveRun) {
         settleUnknown();
-        return refuse({code, "", spreadRetryAfter(1, m_state.random)});
+        return refuse({code, "", jitteredRetryAfter(1, m_state.random)});
     }
     if (run == RunState::run)
         settleDone(attempt.answer().status, attempt.answer().body);
@@ -73,7 +73,7 @@
         settleUnknown();
     const ResultCode code = finalCode(end, m_exchange->service->idempotent, late);
     const bool mayComeBack = m_exchange->service->idempotent || certainlyNotRun(end);
-    refuse({code, "", mayComeBack ? spreadRetryAfter(1, m_state.random) : Duration(0)});
+    refuse({code, "", mayComeBack ? jitteredRetryAfter(1, m_state.random) : Duration(0)});
 }
 
 void Dispatch::refuse(const Refusal &wanted)
@@ -108,7 +108,7 @@
     const TimePoint now = m_state.clock.now();
     const Exchange &exchange = *m_exchange;
     if (m_admitted)
-        m_state.admission.onOver(exchange.customer->name, exchange.service->name);
+        m_state.admission.onFinished(exchange.customer->name, exchange.service->name);
     m_admitted = false;
     // What did not run is no use of the customer's.
     const bool ran = m_attempts > 0 && resultInfo(code).runState != RunState::notRun;
@@ -156,8 +156,9 @@
                             away->slots, away->readDelaySeconds * toMs, away->ageMs);
     const double seen
         = m_inputs.away ? m_inputs.away->eventIntervalSeconds : home.eventIntervalSeconds;
-    if (seen > 0 && m_inputs.bearableSeconds > 0)
-        text += fmt::format(";pace:{:.0f}/{:.0f}", seen * toMs, m_inputs.bearableSeconds * toMs);
+    if (seen > 0 && m_inputs.maxEventIntervalSeconds > 0)
+        text += fmt::format(";pace:{:.0f}/{:.0f}", seen * toMs,
+                            m_inputs.maxEventIntervalSeconds * toMs);
     if (m_inputs.serverSlots > 0)
         text += fmt::format(";server:{:.0f}/{:.0f}+{:.0f},age:{}", m_inputs.serverLoad,
                             m_inputs.serverSlots, m_inputs.serverDelay * toMs,
--- a/src/entry/dispatch-plan.cc
+++ b/src/entry/dispatch-plan.cc
@@ -162,7 +162,7 @@
     // A caller that has a part of its stream is not turned away for the rest.
     admit = admit && m_exchange->lastEventId.empty();
     input.localRejects = admit && !m_admitted
-        && m_state.admission.ask(admissionQuestion(input.localLoad, false), m_state.random).code
+        && m_state.admission.decide(admissionQuestion(input.localLoad, false), m_state.random).code
             != ResultCode::served;
     const RegionDecision answer
         = m_state.chooser.choose(input, m_state.regions, now, m_state.random);
@@ -170,7 +170,7 @@
         return Refusal{ResultCode::residencyForbids, "", {}};
     if (!answer.region)
         return Refusal{ResultCode::noBackendServer, "",
-                       spreadRetryAfter(noServerPause, m_state.random)};
+                       jitteredRetryAfter(noServerPause, m_state.random)};
     const bool away = *answer.region != input.localRegion;
     m_inputs = {};
     m_inputs.home = input.localLoad;
@@ -178,28 +178,29 @@
     if (table->list.confirmedAt != TimePoint{})
         m_inputs.listAge = now - table->list.confirmedAt;
     if (m_exchange->prompt.tokens > 0)
-        m_inputs.bearableSeconds = m_state.habits.bearableSeconds(loadName(*m_exchange), now);
+        m_inputs.maxEventIntervalSeconds
+            = m_state.habits.maxEventIntervalSeconds(loadName(*m_exchange), now);
     if (away)
         m_inputs.away = m_state.regions.find(*answer.region, loadName(*m_exchange), now);
     if (admit && !m_admitted) {
         const RegionLoad load = away ? m_inputs.away.value_or(RegionLoad{}) : input.localLoad;
-        const AdmissionAnswer admission
-            = m_state.admission.ask(admissionQuestion(load, away), m_state.random);
+        const AdmissionDecision admission
+            = m_state.admission.decide(admissionQuestion(load, away), m_state.random);
         if (admission.code != ResultCode::served)
             return Refusal{admission.code, "", admission.retryAfter};
         m_admitted = true;
-        m_state.admission.onTaken(m_exchange->customer->name, service.name,
-                                  m_exchange->customer->share);
+        m_state.admission.onAdmitted(m_exchange->customer->name, service.name,
+                                     m_exchange->customer->share);
     }
     if (away)
         return planAway(*answer.region);
     return pickServer(*table);
 }
 
-AdmissionQuestion Dispatch::admissionQuestion(const RegionLoad &load, bool away) const
+AdmissionInput Dispatch::admissionQuestion(const RegionLoad &load, bool away) const
 {
     const FleetConfig &config = m_exchange->config();
-    AdmissionQuestion input;
+    AdmissionInput input;
     input.customer = m_exchange->customer;
     input.service = m_exchange->service;
     input.priority = m_exchange->priority;
@@ -207,19 +208,19 @@
     input.outstanding = load.outstanding;
     input.queueFactor = config.limits.queueFactor;
     for (const auto &[name, service] : config.services)
-        input.highestWorth = std::max(input.highestWorth, service.worth);
+        input.maxWorth = std::max(input.maxWorth, service.worth);
     input.lateIsUndelivered = config.weights.lateIsUndelivered;
-    input.way = away ? 2 * config.regionOneWay : Duration(0);
+    input.roundTrip = away ? 2 * config.regionOneWay : Duration(0);
     input.remaining = remaining();
-    input.firstDelay = m_exchange->prompt.tokens > 0 ? load.readDelaySeconds : 0;
+    input.promptReadDelaySeconds = m_exchange->prompt.tokens > 0 ? load.readDelaySeconds : 0;
     if (m_exchange->prompt.tokens > 0) {
         const TimePoint now = m_state.clock.now();
         const std::string &pool = loadName(*m_exchange);
         input.eventIntervalSeconds = load.eventIntervalSeconds;
-        input.bearableSeconds = m_state.habits.bearableSeconds(pool, now);
-        input.lessUrgent = m_state.habits.lessUrgent(pool, input.priority, now);
+        input.maxEventIntervalSeconds = m_state.habits.maxEventIntervalSeconds(pool, now);
+        input.lessUrgentServices = m_state.habits.lessUrgentServices(pool, input.priority, now);
     }
-    input.draw = m_draw;
+    input.rejectionDraw = m_draw;
     return input;
 }
 
@@ -233,7 +234,7 @@
     const EntryList list = makeEntryList(members, region, {region}, m_state.random);
     if (list.instances.empty())
         return Refusal{ResultCode::noBackendServer, "",
-                       spreadRetryAfter(noServerPause, m_state.random)};
+                       jitteredRetryAfter(noServerPause, m_state.random)};
     const Member &member = list.instances.front();
     return peerTarget(member);
 }
@@ -256,7 +257,7 @@
         return Wait{waitTime};
     if (candidates.empty())
         return Refusal{ResultCode::noBackendServer, "",
-                       spreadRetryAfter(noServerPause, m_state.random)};
+                       jitteredRetryAfter(noServerPause, m_state.random)};
     PickInput input;
     input.candidates = candidates;
     input.prefix = m_exchange->prefixHash;
@@ -276,7 +277,7 @@
         m_inputs.remainingColdTime = chosen.view->coldUntil - now;
     if (!takeSendingRight(table, *chosen.view))
         return Refusal{ResultCode::noBackendServer, "",
-                       spreadRetryAfter(noServerPause, m_state.random)};
+                       jitteredRetryAfter(noServerPause, m_state.random)};
     return targetOf(*chosen.view);
 }
 
--- a/src/entry/dispatch.cc
+++ b/src/entry/dispatch.cc
@@ -302,11 +302,11 @@
 {
     if (remaining().count() <= 0) {
         settleNotRun();
-        return refuse({ResultCode::deadlineTooShort, "", spreadRetryAfter(1, m_state.random)});
+        return refuse({ResultCode::deadlineTooShort, "", jitteredRetryAfter(1, m_state.random)});
     }
     if (!target.isPeer && !passQuarantine()) {
         settleNotRun();
-        return refuse({ResultCode::heldForTrial, "", spreadRetryAfter(2, m_state.random)});
+        return refuse({ResultCode::heldForTrial, "", jitteredRetryAfter(2, m_state.random)});
     }
     ++m_attempts;
     m_attemptStarted = m_state.clock.now();
@@ -523,7 +523,7 @@
     m_stayHome = true;
     m_sentAway = false;
     if (m_admitted)
-        m_state.admission.onOver(m_exchange->customer->name, m_exchange->service->name);
+        m_state.admission.onFinished(m_exchange->customer->name, m_exchange->service->name);
     m_admitted = false;
 }
 
--- a/src/entry/dispatch.h
+++ b/src/entry/dispatch.h
@@ -30,7 +30,7 @@
 {
     RegionLoad home;
     std::optional<RegionLoad> away; // of the region chosen, if another one
-    double bearableSeconds = 0; // between two events of a stream
+    double maxEventIntervalSeconds = 0; // between two events of a stream
     double serverLoad = 0; // corrected, of the server chosen
     double serverSlots = 0;
     double serverDelay = 0; // seconds before a prompt sent now is read
@@ -82,7 +82,7 @@
     bool takeSendingRight(const RoutingTable &table, const ServerView &view) const;
     bool mayWarmNow(const RoutingTable &table, const ServerView &view) const;
     std::optional<Duration> warmingPause(const RoutingTable &table, const ServerView &view) const;
-    AdmissionQuestion admissionQuestion(const RegionLoad &load, bool away) const;
+    AdmissionInput admissionQuestion(const RegionLoad &load, bool away) const;
     Plan planAway(const std::string &region);
     Plan pickServer(const RoutingTable &table);
     static Target peerTarget(const Member &member);
--- a/src/entry/filters.cc
+++ b/src/entry/filters.cc
@@ -231,7 +231,7 @@
         case QuarantineDecision::trial:
             return std::nullopt;
         case QuarantineDecision::held:
-            return Refusal{ResultCode::heldForTrial, "", spreadRetryAfter(2, m_state.random)};
+            return Refusal{ResultCode::heldForTrial, "", jitteredRetryAfter(2, m_state.random)};
         case QuarantineDecision::quarantined:
             return Refusal{ResultCode::quarantined, "", {}};
         }
@@ -257,7 +257,7 @@
             = m_state.usage.admit(customer, amount, m_state.random.uniform(), m_state.clock.now());
         if (!decision.fits)
             return Refusal{ResultCode::usageCapReached, reasonText(decision, customer),
-                           spreadRetryAfter(seconds(decision.retryAfter), m_state.random)};
+                           jitteredRetryAfter(seconds(decision.retryAfter), m_state.random)};
         exchange.usageCounted = amount;
         return std::nullopt;
     }
@@ -338,7 +338,7 @@
 {
     const bool mayBeOld = state.clock.now() > state.configSureUntil.load();
     if (exchange.fromPeer || mayBeOld)
-        return {ResultCode::configBehind, "", spreadRetryAfter(1, state.random)};
+        return {ResultCode::configBehind, "", jitteredRetryAfter(1, state.random)};
     return {ResultCode::unknownCustomer, "unknown key", {}};
 }
 
--- a/src/entry/gateway.cc
+++ b/src/entry/gateway.cc
@@ -103,7 +103,7 @@
     exchange->trace.startedMs = wallMilliseconds(m_state.clock.wallNow());
     exchange->table = m_state.routing.read();
     if (!exchange->table || !exchange->table->config)
-        return refuse(*exchange, {ResultCode::notReady, "", spreadRetryAfter(1, m_state.random)});
+        return refuse(*exchange, {ResultCode::notReady, "", jitteredRetryAfter(1, m_state.random)});
     if (m_state.stopping && m_state.clock.now() >= m_state.servesUntil.load())
         return refuse(*exchange, {ResultCode::stopping, "", comeBackElsewhere});
     for (const auto &filter : m_filters) {
--- a/src/entry/state.h
+++ b/src/entry/state.h
@@ -23,7 +23,7 @@
 #include "ibisnotch/region-choice.h"
 #include "ibisnotch/retry.h"
 #include "ibisnotch/server-table.h"
-#include "ibisnotch/stream-pace.h"
+#include "ibisnotch/stream-statistics.h"
 #include "ibisnotch/usage-cap.h"
 #include "trace.h"
 
@@ -51,7 +51,7 @@
 
     RegionChooser chooser;
     Admission admission;
-    StreamHabits habits;
+    StreamStatistics habits;
     PromptLengths prompts;
     RetryBudget retries;
     UsageCaps usage;
--- a/src/experiment/experiment.cc
+++ b/src/experiment/experiment.cc
@@ -263,18 +263,18 @@
     {
         if (!m_setup.policy.admission)
             return true;
-        AdmissionQuestion input;
+        AdmissionInput input;
         input.customer = &m_customer;
         input.service = call.service;
         input.priority = call.service->priority;
-        input.highestWorth = m_setup.policy.byWorth ? m_valuable.worth : 0;
+        input.maxWorth = m_setup.policy.byWorth ? m_valuable.worth : 0;
         input.slots = load.slots;
         input.outstanding = load.outstanding;
         input.queueFactor = 4;
         input.lateIsUndelivered = m_setup.weights.lateIsUndelivered;
         input.remaining = std::chrono::duration_cast<Duration>(
             std::chrono::duration<double>(call.deadline - m_now));
-        return entry.admission.ask(input, m_random).code == ResultCode::served;
+        return entry.admission.decide(input, m_random).code == ResultCode::served;
     }
 
     void refuse(const Call &call)
--- a/test/admission-test.cc
+++ b/test/admission-test.cc
@@ -16,19 +16,19 @@
     Service service;
     Admission admission;
     Random random{1};
-    AdmissionQuestion question;
+    AdmissionInput input;
 
     AdmissionFixture()
     {
         service.name = "s";
         service.expectedDuration = 100ms;
-        question.customer = &customer;
-        question.service = &service;
-        question.slots = 8;
-        question.remaining = 10s;
+        input.customer = &customer;
+        input.service = &service;
+        input.slots = 8;
+        input.remaining = 10s;
     }
 
-    ResultCode ask() { return admission.ask(question, random).code; }
+    ResultCode decide() { return admission.decide(input, random).code; }
 };
 
 // One engine that reads prompts one after the other, at 50 ms each, with news of its queue that is
@@ -42,7 +42,7 @@
     PeakFixture()
     {
         service.targetLatency = 1s;
-        question.slots = 64;
+        input.slots = 64;
     }
 
     // The part of all callers whose first token comes in time.
@@ -57,9 +57,9 @@
             while (news.size() > 1 && news[1].first <= now - newsAge)
                 news.pop_front();
             ++callers;
-            question.firstDelay = news.front().second;
-            question.draw = turnsAway ? random.uniform() : 1;
-            if (ask() != ResultCode::served)
+            input.promptReadDelaySeconds = news.front().second;
+            input.rejectionDraw = turnsAway ? random.uniform() : 1;
+            if (decide() != ResultCode::served)
                 continue;
             freeAt = std::max(freeAt, now) + readSeconds;
             inTime += freeAt - now <= targetSeconds ? 1 : 0;
@@ -81,48 +81,48 @@
 
 TEST_CASE_METHOD(PeakFixture, "admission_quietEngine_turnsNobodyAway")
 {
-    question.firstDelay = 0.5;
-    question.draw = 0;
-    CHECK(ask() == ResultCode::served);
-    question.firstDelay = 0.7;
-    CHECK(ask() == ResultCode::overloaded);
-    question.draw = 0.9;
-    CHECK(ask() == ResultCode::served);
+    input.promptReadDelaySeconds = 0.5;
+    input.rejectionDraw = 0;
+    CHECK(decide() == ResultCode::served);
+    input.promptReadDelaySeconds = 0.7;
+    CHECK(decide() == ResultCode::overloaded);
+    input.rejectionDraw = 0.9;
+    CHECK(decide() == ResultCode::served);
 }
 
 // What callers see: the time after which to come back grows with the time that they have. Why:
 // those who came back after a second met the same peak and were turned away again.
 TEST_CASE_METHOD(PeakFixture, "admission_turnedAwayAtAPeak_comesBackAfterASixthOfTheTimeLeft")
 {
-    question.firstDelay = 2;
-    question.draw = 0;
-    question.remaining = 15s;
-    const Duration pause = admission.ask(question, random).retryAfter;
+    input.promptReadDelaySeconds = 2;
+    input.rejectionDraw = 0;
+    input.remaining = 15s;
+    const Duration pause = admission.decide(input, random).retryAfter;
     CHECK(pause >= 2500ms);
     CHECK(pause <= 5s);
 }
 
 TEST_CASE_METHOD(AdmissionFixture, "admission_freeSlots_takesTheRequest")
 {
-    CHECK(ask() == ResultCode::served);
-    question.slots = 0;
-    CHECK(ask() == ResultCode::noBackendServer);
+    CHECK(decide() == ResultCode::served);
+    input.slots = 0;
+    CHECK(decide() == ResultCode::noBackendServer);
 }
 
 // What callers see: a refusal at once that says when to come back, each a different time. Why:
 // those refused together must not come back together.
 TEST_CASE_METHOD(AdmissionFixture, "admission_refusals_areSpreadOverTime")
 {
-    question.outstanding = 100;
+    input.outstanding = 100;
     rc::prop("between the wait and twice the wait", [this](std::uint64_t seed) {
         Random own(seed);
-        const AdmissionAnswer answer = admission.ask(question, own);
+        const AdmissionDecision answer = admission.decide(input, own);
         RC_ASSERT(answer.code == ResultCode::overloaded);
         RC_ASSERT(answer.retryAfter >= 1s);
         RC_ASSERT(answer.retryAfter <= 4s);
     });
-    const Duration one = admission.ask(question, random).retryAfter;
-    const Duration two = admission.ask(question, random).retryAfter;
+    const Duration one = admission.decide(input, random).retryAfter;
+    const Duration two = admission.decide(input, random).retryAfter;
     CHECK(one != two);
 }
 
@@ -132,51 +132,51 @@
 {
     Customer quiet{"quiet", {}, {}, {}, 1, {}, {}, false};
     for (int i = 0; i < 10; ++i)
-        admission.onTaken("c", "s", 1);
-    admission.onTaken("quiet", "s", 1);
-    question.outstanding = 11;
-    CHECK(ask() == ResultCode::customerOverShare);
-    question.customer = &quiet;
-    CHECK(ask() == ResultCode::served);
+        admission.onAdmitted("c", "s", 1);
+    admission.onAdmitted("quiet", "s", 1);
+    input.outstanding = 11;
+    CHECK(decide() == ResultCode::customerOverShare);
+    input.customer = &quiet;
+    CHECK(decide() == ResultCode::served);
     for (int i = 0; i < 10; ++i)
-        admission.onOver("c", "s");
-    question.customer = &customer;
-    CHECK(ask() == ResultCode::served);
+        admission.onFinished("c", "s");
+    input.customer = &customer;
+    CHECK(decide() == ResultCode::served);
 }
 
 TEST_CASE_METHOD(AdmissionFixture, "admission_deadlineBeforeTheQueueEnds_refusesAtOnce")
 {
-    question.outstanding = 15;
-    question.remaining = 150ms;
-    CHECK(ask() == ResultCode::deadlineTooShort);
-    question.remaining = 1s;
-    CHECK(ask() == ResultCode::served);
-    question.outstanding = 0;
-    question.remaining = 50ms;
-    CHECK(ask() == ResultCode::served);
-    question.lateIsUndelivered = true;
-    CHECK(ask() == ResultCode::deadlineTooShort);
+    input.outstanding = 15;
+    input.remaining = 150ms;
+    CHECK(decide() == ResultCode::deadlineTooShort);
+    input.remaining = 1s;
+    CHECK(decide() == ResultCode::served);
+    input.outstanding = 0;
+    input.remaining = 50ms;
+    CHECK(decide() == ResultCode::served);
+    input.lateIsUndelivered = true;
+    CHECK(decide() == ResultCode::deadlineTooShort);
 }
 
 // What callers see: bookings and digests are taken while notes are refused. In what order: the
 // queue fills. Why: what is left of it goes to what is worth most to the customer.
 TEST_CASE_METHOD(AdmissionFixture, "admission_fillingQueue_refusesWhatIsWorthLessFirst")
 {
-    question.highestWorth = 10;
-    question.outstanding = 13;
+    input.maxWorth = 10;
+    input.outstanding = 13;
     service.worth = 10;
-    CHECK(ask() == ResultCode::served);
+    CHECK(decide() == ResultCode::served);
     service.worth = 1;
-    CHECK(ask() == ResultCode::overloaded);
-    question.outstanding = 7;
-    CHECK(ask() == ResultCode::served);
+    CHECK(decide() == ResultCode::overloaded);
+    input.outstanding = 7;
+    CHECK(decide() == ResultCode::served);
 }
 
 TEST_CASE_METHOD(AdmissionFixture, "admission_fullQueue_refusesLessUrgentServicesFirst")
 {
-    question.outstanding = 15;
-    question.priority = 0;
-    CHECK(ask() == ResultCode::served);
-    question.priority = 9;
-    CHECK(ask() == ResultCode::overloaded);
+    input.outstanding = 15;
+    input.priority = 0;
+    CHECK(decide() == ResultCode::served);
+    input.priority = 9;
+    CHECK(decide() == ResultCode::overloaded);
 }
--- a/test/stream-pace-test.cc
+++ b/test/stream-statistics-test.cc
@@ -1,4 +1,4 @@
-#include "ibisnotch/stream-pace.h"
+#include "ibisnotch/stream-statistics.h"
 
 #include <deque>
 
@@ -15,7 +15,7 @@
 struct PaceFixture
 {
     ServerCounters counters;
-    StreamHabits habits;
+    StreamStatistics habits;
     Service answers; // long answers to short prompts
     Service digests; // long prompts, less urgent
     TimePoint now{1h};
@@ -63,17 +63,17 @@
 
     bool takes(const Service &service, double seconds, double bearable)
     {
-        AdmissionQuestion question;
-        question.customer = &customer;
-        question.service = &service;
-        question.slots = 128;
-        question.remaining = 10s;
-        question.eventIntervalSeconds = seconds;
-        question.bearableSeconds = bearable;
-        question.priority = service.priority;
-        question.lessUrgent = habits.lessUrgent("pool", service.priority, now);
-        question.draw = random.uniform();
-        return admission.ask(question, random).code == ResultCode::served;
+        AdmissionInput input;
+        input.customer = &customer;
+        input.service = &service;
+        input.slots = 128;
+        input.remaining = 10s;
+        input.eventIntervalSeconds = seconds;
+        input.maxEventIntervalSeconds = bearable;
+        input.priority = service.priority;
+        input.lessUrgentServices = habits.lessUrgentServices("pool", service.priority, now);
+        input.rejectionDraw = random.uniform();
+        return admission.decide(input, random).code == ResultCode::served;
     }
 
     Outcome play(bool judgesPace)
@@ -84,7 +84,7 @@
         constexpr std::size_t newsAge = 20; // steps
         ended(answers, 40);
         ended(digests, 40);
-        const double bearable = judgesPace ? habits.bearableSeconds("pool", now) : 0;
+        const double bearable = judgesPace ? habits.maxEventIntervalSeconds("pool", now) : 0;
         std::deque<double> news{calm};
         std::deque<Stream> streams;
         double toRead = 0;
@@ -132,27 +132,27 @@
 TEST_CASE_METHOD(PaceFixture, "eventIntervalSeconds_eventsOfStreams_followsTheirInterval")
 {
     CHECK(eventIntervalSeconds(counters, now) == 0);
-    noteEvents(counters, 2, 100ms, now);
+    recordEvents(counters, 2, 100ms, now);
     CHECK(eventIntervalSeconds(counters, now) == Approx(0.05));
     for (int i = 0; i < 50; ++i)
-        noteEvents(counters, 1, 200ms, now);
+        recordEvents(counters, 1, 200ms, now);
     CHECK(eventIntervalSeconds(counters, now) == Approx(0.2).margin(0.01));
 }
 
 // Why: an engine that nobody asked for a while may have read all that made it slow.
 TEST_CASE_METHOD(PaceFixture, "eventIntervalSeconds_noEventsForASecond_isUnknown")
 {
-    noteEvents(counters, 1, 200ms, now);
+    recordEvents(counters, 1, 200ms, now);
     CHECK(eventIntervalSeconds(counters, now + 2s) == 0);
 }
 
 TEST_CASE_METHOD(PaceFixture, "streamHabits_longAnswers_bearNoMoreThanTheirDeadlineGives")
 {
-    CHECK(habits.bearableSeconds("pool", now) == 0);
+    CHECK(habits.maxEventIntervalSeconds("pool", now) == 0);
     ended(answers, 40);
-    CHECK(habits.bearableSeconds("pool", now) == Approx(0.1)); // 8 s for 80 events
-    CHECK(habits.bearableSeconds("other", now) == 0);
-    CHECK(habits.bearableSeconds("pool", now + 1min) == 0);
+    CHECK(habits.maxEventIntervalSeconds("pool", now) == Approx(0.1)); // 8 s for 80 events
+    CHECK(habits.maxEventIntervalSeconds("other", now) == 0);
+    CHECK(habits.maxEventIntervalSeconds("pool", now + 1min) == 0);
 }
 
 // What callers see: prompts refused by idle engines. In what order: an operator shortens a
@@ -163,23 +163,23 @@
     answers.deadline = 2600ms;
     answers.targetLatency = 2500ms;
     ended(answers, 2);
-    CHECK(habits.bearableSeconds("pool", now) == Approx(0.325)); // 1.3 s for 4 events
+    CHECK(habits.maxEventIntervalSeconds("pool", now) == Approx(0.325)); // 1.3 s for 4 events
 }
 
 TEST_CASE_METHOD(PaceFixture, "streamHabits_pausesMakeLate_bearHalfOfTheLongest")
 {
     answers.maxEventGap = 100ms;
     ended(answers, 2);
-    CHECK(habits.bearableSeconds("pool", now) == Approx(0.05));
+    CHECK(habits.maxEventIntervalSeconds("pool", now) == Approx(0.05));
 }
 
 TEST_CASE_METHOD(PaceFixture, "streamHabits_lessUrgent_countsServicesOfThePoolInUse")
 {
     ended(answers, 40);
     ended(digests, 40);
-    CHECK(habits.lessUrgent("pool", answers.priority, now) == 1);
-    CHECK(habits.lessUrgent("pool", digests.priority, now) == 0);
-    CHECK(habits.lessUrgent("pool", answers.priority, now + 1min) == 0);
+    CHECK(habits.lessUrgentServices("pool", answers.priority, now) == 1);
+    CHECK(habits.lessUrgentServices("pool", digests.priority, now) == 0);
+    CHECK(habits.lessUrgentServices("pool", answers.priority, now + 1min) == 0);
 }
 
 // What callers see: answers that break off at their deadline, most of them near their end, though
