--- a/include/ibisnotch/retry.h
+++ b/include/ibisnotch/retry.h
@@ -12,25 +12,25 @@
 namespace ibisnotch {
 
 // How one attempt at a backend server or a peer ended.
-enum class AttemptEnd {
+enum class AttemptOutcome {
     answered,
     notConnected, // certain: nothing was sent
     refusedNotRun, // certain: the other end says that it did not run the request
     otherServer, // certain: another server has the address now
-    refusedForGood, // a refusal that any other server would repeat
-    brokenOff, // the connection ended after the request was sent
+    rejected, // a refusal that any other server would repeat
+    connectionLost, // the connection ended after the request was sent
     silent, // no progress in time
-    cutShort, // the answer began and did not end as it should
-    notOurs, // the answer belongs to another request
+    truncated, // the answer began and did not end as it should
+    mismatched, // the answer belongs to another request
     serverError, // an answer of status 500 or above
     callerLeft, // nobody waits for the answer any more
 };
 
 // For logs and metrics.
-std::string_view attemptEndName(AttemptEnd end);
+std::string_view attemptOutcomeName(AttemptOutcome outcome);
 
 // True where it is certain that the other end did not act on the request.
-bool certainlyNotRun(AttemptEnd end);
+bool certainlyNotRun(AttemptOutcome outcome);
 
 // Tokens that limit retries to a share of the requests, per customer and service. In an outage
 // every request fails; without the budget each would be tried several times and the load on what
@@ -46,9 +46,9 @@
     void setBurst(double burst);
 
     void onRequest(const std::string &customer, const std::string &service, double retryShare);
-    bool take(const std::string &customer, const std::string &service);
-    // Whether take() would succeed now.
-    bool has(const std::string &customer, const std::string &service);
+    bool tryAcquire(const std::string &customer, const std::string &service);
+    // Whether tryAcquire() would succeed now.
+    bool canAcquire(const std::string &customer, const std::string &service);
 
 private:
     double &tokens(const std::string &customer, const std::string &service);
@@ -59,26 +59,26 @@
     std::map<std::pair<std::string, std::string>, double> m_tokens;
 };
 
-constexpr int mostAttempts = 3;
+constexpr int maxAttempts = 3;
 
-struct RetryQuestion
+struct RetryInput
 {
-    AttemptEnd end = AttemptEnd::answered;
+    AttemptOutcome outcome = AttemptOutcome::answered;
     bool idempotent = true;
     bool callerHasSeenBytes = false;
     int attemptsMade = 1;
     int runsMade = 0; // attempts that may have run
-    int mostRuns = mostAttempts; // the service's limit
+    int maxRuns = maxAttempts; // the service's limit
     Duration remaining{}; // until the caller's deadline
     Duration expected{}; // usual time of one run
 };
 
-enum class RetryAnswer { retry, giveUp };
+enum class RetryDecision { retry, abandon };
 
-// The rules that need no budget. Ask the budget only after RetryAnswer::retry.
-RetryAnswer mayRetry(const RetryQuestion &question);
+// The rules that need no budget. Ask the budget only after RetryDecision::retry.
+RetryDecision decideRetry(const RetryInput &input);
 
 // What the caller is told when an attempt was the last.
-ResultCode finalCode(AttemptEnd end, bool idempotent, bool deadlineOver);
+ResultCode finalResultCode(AttemptOutcome outcome, bool idempotent, bool deadlineExpired);
 
 } // namespace ibisnotch
--- a/src/decide/retry.cc
+++ b/src/decide/retry.cc
@@ -4,39 +4,39 @@
 
 namespace ibisnotch {
 
-std::string_view attemptEndName(AttemptEnd end)
+std::string_view attemptOutcomeName(AttemptOutcome outcome)
 {
-    switch (end) {
-    case AttemptEnd::answered:
+    switch (outcome) {
+    case AttemptOutcome::answered:
         return "answered";
-    case AttemptEnd::notConnected:
+    case AttemptOutcome::notConnected:
         return "not connected";
-    case AttemptEnd::refusedNotRun:
+    case AttemptOutcome::refusedNotRun:
         return "refused, not run";
-    case AttemptEnd::otherServer:
+    case AttemptOutcome::otherServer:
         return "another server";
-    case AttemptEnd::refusedForGood:
+    case AttemptOutcome::rejected:
         return "refused for good";
-    case AttemptEnd::brokenOff:
+    case AttemptOutcome::connectionLost:
         return "broken off";
-    case AttemptEnd::silent:
+    case AttemptOutcome::silent:
         return "silent";
-    case AttemptEnd::cutShort:
+    case AttemptOutcome::truncated:
         return "cut short";
-    case AttemptEnd::notOurs:
+    case AttemptOutcome::mismatched:
         return "answer of another request";
-    case AttemptEnd::serverError:
+    case AttemptOutcome::serverError:
         return "server error";
-    case AttemptEnd::callerLeft:
+    case AttemptOutcome::callerLeft:
         return "caller left";
     }
     return "";
 }
 
-bool certainlyNotRun(AttemptEnd end)
+bool certainlyNotRun(AttemptOutcome outcome)
 {
-    return end == AttemptEnd::notConnected || end == AttemptEnd::refusedNotRun
-        || end == AttemptEnd::otherServer || end == AttemptEnd::refusedForGood;
+    return outcome == AttemptOutcome::notConnected || outcome == AttemptOutcome::refusedNotRun
+        || outcome == AttemptOutcome::otherServer || outcome == AttemptOutcome::rejected;
 }
 
 double &RetryBudget::tokens(const std::string &customer, const std::string &service)
@@ -63,7 +63,7 @@
     left = std::min(m_burst, left + retryShare);
 }
 
-bool RetryBudget::take(const std::string &customer, const std::string &service)
+bool RetryBudget::tryAcquire(const std::string &customer, const std::string &service)
 {
     const std::lock_guard lock(m_mutex);
     double &left = tokens(customer, service);
@@ -73,44 +73,44 @@
     return true;
 }
 
-bool RetryBudget::has(const std::string &customer, const std::string &service)
+bool RetryBudget::canAcquire(const std::string &customer, const std::string &service)
 {
     const std::lock_guard lock(m_mutex);
     return tokens(customer, service) >= 1;
 }
 
-RetryAnswer mayRetry(const RetryQuestion &question)
+RetryDecision decideRetry(const RetryInput &input)
 {
-    const bool final = question.end == AttemptEnd::answered
-        || question.end == AttemptEnd::refusedForGood || question.end == AttemptEnd::callerLeft;
-    if (final || question.runsMade >= question.mostRuns)
-        return RetryAnswer::giveUp;
-    if (question.callerHasSeenBytes || question.attemptsMade >= mostAttempts)
-        return RetryAnswer::giveUp;
-    if (question.remaining < question.expected)
-        return RetryAnswer::giveUp;
+    const bool final = input.outcome == AttemptOutcome::answered
+        || input.outcome == AttemptOutcome::rejected || input.outcome == AttemptOutcome::callerLeft;
+    if (final || input.runsMade >= input.maxRuns)
+        return RetryDecision::abandon;
+    if (input.callerHasSeenBytes || input.attemptsMade >= maxAttempts)
+        return RetryDecision::abandon;
+    if (input.remaining < input.expected)
+        return RetryDecision::abandon;
     // A booking whose outcome is unknown must not be sent again: the backend server may have acted
     // on it, and a second caterer would be paid. Only a certain "not run" lets it go elsewhere.
-    if (!question.idempotent && !certainlyNotRun(question.end))
-        return RetryAnswer::giveUp;
-    return RetryAnswer::retry;
+    if (!input.idempotent && !certainlyNotRun(input.outcome))
+        return RetryDecision::abandon;
+    return RetryDecision::retry;
 }
 
-ResultCode finalCode(AttemptEnd end, bool idempotent, bool deadlineOver)
+ResultCode finalResultCode(AttemptOutcome outcome, bool idempotent, bool deadlineExpired)
 {
-    if (certainlyNotRun(end))
+    if (certainlyNotRun(outcome))
         return idempotent ? ResultCode::noBackendServer : ResultCode::bookingNotRun;
-    if (end == AttemptEnd::callerLeft)
+    if (outcome == AttemptOutcome::callerLeft)
         return ResultCode::callerLeft;
     if (!idempotent)
         return ResultCode::outcomeUnknown;
-    if (deadlineOver)
+    if (deadlineExpired)
         return ResultCode::deadlineExceeded;
-    switch (end) {
-    case AttemptEnd::cutShort:
-    case AttemptEnd::silent:
+    switch (outcome) {
+    case AttemptOutcome::truncated:
+    case AttemptOutcome::silent:
         return ResultCode::answerCutShort;
-    case AttemptEnd::notOurs:
+    case AttemptOutcome::mismatched:
         return ResultCode::answerNotOurs;
     default:
         return ResultCode::backendFailed;
--- a/src/entry/attempt.cc
+++ b/src/entry/attempt.cc
@@ -19,7 +19,7 @@
 {
 }
 
-bool Dispatch::Attempt::stop(AttemptEnd end)
+bool Dispatch::Attempt::stop(AttemptOutcome end)
 {
     m_stoppedAs = end;
     return false;
@@ -82,24 +82,24 @@
         && m_dispatch->m_exchange->responder->pendingBytes() > largestPending;
 }
 
-AttemptEnd Dispatch::Attempt::endOf(const TransferResult &result) const
+AttemptOutcome Dispatch::Attempt::endOf(const TransferResult &result) const
 {
     if (m_stoppedAs)
         return *m_stoppedAs;
     if (m_dispatch->m_exchange->responder->closed() && result.end != TransferEnd::complete)
-        return AttemptEnd::callerLeft;
+        return AttemptOutcome::callerLeft;
     switch (result.end) {
     case TransferEnd::complete:
         return m_reader->attemptEnd();
     case TransferEnd::refusedByPeer:
-        return AttemptEnd::notConnected;
+        return AttemptOutcome::notConnected;
     case TransferEnd::timedOut:
-        return AttemptEnd::silent;
+        return AttemptOutcome::silent;
     case TransferEnd::brokenOff:
     case TransferEnd::cancelled:
-        return AttemptEnd::brokenOff;
+        return AttemptOutcome::connectionLost;
     }
-    return AttemptEnd::brokenOff;
+    return AttemptOutcome::connectionLost;
 }
 
 void Dispatch::Attempt::onEnd(const TransferResult &result)
--- a/src/entry/attempt.h
+++ b/src/entry/attempt.h
@@ -27,15 +27,15 @@
 
 private:
     void notePace();
-    bool stop(AttemptEnd end);
-    AttemptEnd endOf(const TransferResult &result) const;
+    bool stop(AttemptOutcome end);
+    AttemptOutcome endOf(const TransferResult &result) const;
 
     std::shared_ptr<Dispatch> m_dispatch;
     Target m_target;
     std::unique_ptr<ResponseReader> m_reader;
     HttpResponse m_answer; // kept until it is whole
     bool m_tooLong = false; // to be kept whole
-    std::optional<AttemptEnd> m_stoppedAs;
+    std::optional<AttemptOutcome> m_stoppedAs;
     TimePoint m_heard; // the last byte, or the start
     int m_eventsNoted = 0;
     TimePoint m_eventAt{}; // of the last event
--- a/src/entry/chat-protocol.cc
+++ b/src/entry/chat-protocol.cc
@@ -19,11 +19,11 @@
     {
     }
 
-    std::optional<AttemptEnd> onHead(int status, const Headers &headers) override
+    std::optional<AttemptOutcome> onHead(int status, const Headers &headers) override
     {
         m_leaving = !m_fromPeer && headers.get("X-Engine-Draining").has_value();
         if (m_check.onHead(status, headers) != AnswerVerdict::good)
-            return AttemptEnd::notOurs;
+            return AttemptOutcome::mismatched;
         const std::string type = headers.get("Content-Type").value_or("");
         m_streams = m_form == AnswerForm::eventStream && type.rfind("text/event-stream", 0) == 0;
         if (!m_fromPeer)
@@ -34,22 +34,22 @@
         return std::nullopt;
     }
 
-    std::optional<AttemptEnd> onData(std::string_view data, std::string &out) override
+    std::optional<AttemptOutcome> onData(std::string_view data, std::string &out) override
     {
         switch (m_check.onData(data, out)) {
         case AnswerVerdict::good:
             return std::nullopt;
         case AnswerVerdict::notOurs:
-            return AttemptEnd::notOurs;
+            return AttemptOutcome::mismatched;
         case AnswerVerdict::broken:
             break;
         }
-        return AttemptEnd::cutShort;
+        return AttemptOutcome::truncated;
     }
 
-    AttemptEnd attemptEnd() const override
+    AttemptOutcome attemptEnd() const override
     {
-        return m_check.whole() ? AttemptEnd::answered : AttemptEnd::cutShort;
+        return m_check.whole() ? AttemptOutcome::answered : AttemptOutcome::truncated;
     }
 
     bool isStreaming() const override { return m_streams; }
@@ -57,12 +57,12 @@
     bool isServerLeaving() const override { return m_leaving; }
 
 private:
-    static std::optional<AttemptEnd> judgeStatus(int status, const Headers &headers)
+    static std::optional<AttemptOutcome> judgeStatus(int status, const Headers &headers)
     {
         if (headers.get("X-Not-Run"))
-            return AttemptEnd::refusedNotRun;
+            return AttemptOutcome::refusedNotRun;
         if (status >= firstServerError)
-            return AttemptEnd::serverError;
+            return AttemptOutcome::serverError;
         return std::nullopt;
     }
 
--- a/src/entry/dispatch-end.cc
+++ b/src/entry/dispatch-end.cc
@@ -47,20 +47,20 @@
 }
 
 // The caller has part of an answer. It must see that the rest is missing.
-void Dispatch::breakOff(AttemptEnd end)
+void Dispatch::breakOff(AttemptOutcome end)
 {
     const bool late = remaining().count() <= 0;
-    const ResultCode code = finalCode(end, m_exchange->service->idempotent, late);
+    const ResultCode code = finalResultCode(end, m_exchange->service->idempotent, late);
     m_exchange->responder->write(m_protocol.makeStreamError(*m_exchange, code, servedBy({})));
     m_exchange->responder->abort();
     settleUnknown();
     finish(code);
 }
 
-void Dispatch::giveUp(AttemptEnd end)
+void Dispatch::giveUp(AttemptOutcome end)
 {
     const bool late = remaining().count() <= 0;
-    if (end == AttemptEnd::callerLeft) {
+    if (end == AttemptOutcome::callerLeft) {
         settleUnknown();
         return finish(ResultCode::callerLeft);
     }
@@ -71,7 +71,7 @@
         settleNotRun();
     else
         settleUnknown();
-    const ResultCode code = finalCode(end, m_exchange->service->idempotent, late);
+    const ResultCode code = finalResultCode(end, m_exchange->service->idempotent, late);
     const bool mayComeBack = m_exchange->service->idempotent || certainlyNotRun(end);
     refuse({code, "", mayComeBack ? jitteredRetryAfter(1, m_state.random) : Duration(0)});
 }
--- a/src/entry/dispatch.cc
+++ b/src/entry/dispatch.cc
@@ -136,10 +136,10 @@
     return true;
 }
 
-bool Dispatch::waitsForRetry(AttemptEnd end)
+bool Dispatch::waitsForRetry(AttemptOutcome end)
 {
-    const RetryQuestion question = retryQuestion(end, m_runs, false);
-    if (!certainlyNotRun(end) || mayRetry(question) != RetryAnswer::retry || !maySeekRoom())
+    const RetryInput input = retryQuestion(end, m_runs, false);
+    if (!certainlyNotRun(end) || decideRetry(input) != RetryDecision::retry || !maySeekRoom())
         return false;
     afterRoomPause([self = shared_from_this(), end] {
         if (self->tryAgain(end, false))
@@ -184,9 +184,9 @@
     const bool gone = isUnresponsive(*target.counters, now);
     const bool canResume = !m_exchange->lastEventId.empty() || !reader.lastEventId().empty();
     const bool mayMove = !m_trial
-        && mayRetry(retryQuestion(AttemptEnd::silent, m_runs + 1, began && !canResume))
-            == RetryAnswer::retry
-        && m_state.retries.has(m_exchange->customer->name, loadName(*m_exchange));
+        && decideRetry(retryQuestion(AttemptOutcome::silent, m_runs + 1, began && !canResume))
+            == RetryDecision::retry
+        && m_state.retries.canAcquire(m_exchange->customer->name, loadName(*m_exchange));
     // A server that answers others may still answer this one; ended now, the request is lost for
     // certain.
     if (!mayMove)
@@ -333,10 +333,10 @@
     m_client.send(makeRequest(target), std::move(attempt));
 }
 
-void Dispatch::noteAttempt(const Target &target, AttemptEnd end)
+void Dispatch::noteAttempt(const Target &target, AttemptOutcome end)
 {
-    m_state.metrics.onAttempt(attemptEndName(end));
-    trace(fmt::format("attempt {} at {}: {}", m_attempts, target.name, attemptEndName(end)));
+    m_state.metrics.onAttempt(attemptOutcomeName(end));
+    trace(fmt::format("attempt {} at {}: {}", m_attempts, target.name, attemptOutcomeName(end)));
     if (target.isPeer) {
         if (target.region != m_state.settings.region)
             m_state.regions.onForwardedFinished(target.region, loadName(*m_exchange));
@@ -348,15 +348,15 @@
     recordFinished(*target.counters, m_turn, std::exchange(m_streaming, false));
     --target.counters->inFlight;
     ++target.counters->endedSinceReport;
-    const bool refused = end == AttemptEnd::refusedNotRun || end == AttemptEnd::refusedForGood;
-    const bool failed = end != AttemptEnd::answered && !refused;
-    if (end == AttemptEnd::callerLeft)
+    const bool refused = end == AttemptOutcome::refusedNotRun || end == AttemptOutcome::rejected;
+    const bool failed = end != AttemptOutcome::answered && !refused;
+    if (end == AttemptOutcome::callerLeft)
         return;
     AttemptHealth health = failed ? AttemptHealth::failed : AttemptHealth::good;
-    if (end == AttemptEnd::notConnected || end == AttemptEnd::otherServer)
+    if (end == AttemptOutcome::notConnected || end == AttemptOutcome::otherServer)
         health = AttemptHealth::notConnected;
     // A whole failure answer shows a server that runs; what it says of the request is its own.
-    if (end == AttemptEnd::serverError && m_protocol.passesServerErrors())
+    if (end == AttemptOutcome::serverError && m_protocol.passesServerErrors())
         health = AttemptHealth::good;
     m_state.servers.onAttempt(target.name, health, m_state.clock.now());
     if (failed) {
@@ -365,38 +365,38 @@
                 {{"request", m_exchange->id},
                  {"customer", m_exchange->customer->name},
                  {"server", target.name},
-                 {"end", std::string(attemptEndName(end))},
+                 {"end", std::string(attemptOutcomeName(end))},
                  {"ms", millisecondsText(m_state.clock.now() - m_attemptStarted)}});
     }
 }
 
-void Dispatch::onAttemptEnd(const Target &target, AttemptEnd end, Attempt &attempt)
+void Dispatch::onAttemptEnd(const Target &target, AttemptOutcome end, Attempt &attempt)
 {
     // The caller already has part of a stream, so an answer that is none cannot follow it.
-    if (end == AttemptEnd::answered && m_streamed && !attempt.reader().isStreaming())
-        end = AttemptEnd::serverError;
+    if (end == AttemptOutcome::answered && m_streamed && !attempt.reader().isStreaming())
+        end = AttemptOutcome::serverError;
     noteAttempt(target, end);
     m_runs += certainlyNotRun(end) ? 0 : 1;
     if (const std::string last = attempt.reader().lastEventId(); !last.empty())
         m_exchange->lastEventId = last;
-    if (end == AttemptEnd::serverError && m_protocol.passesServerErrors() && !m_streamed)
+    if (end == AttemptOutcome::serverError && m_protocol.passesServerErrors() && !m_streamed)
         m_failure = attempt.answer();
-    m_mayHaveRun = m_mayHaveRun || (!certainlyNotRun(end) && end != AttemptEnd::answered);
+    m_mayHaveRun = m_mayHaveRun || (!certainlyNotRun(end) && end != AttemptOutcome::answered);
     if (m_trial) {
         const std::lock_guard lock(m_state.quarantineMutex);
         m_state.quarantine.onTrialFinished(m_exchange->fingerprint);
     }
-    if (!target.isPeer && end == AttemptEnd::brokenOff && !m_exchange->responder->closed())
+    if (!target.isPeer && end == AttemptOutcome::connectionLost && !m_exchange->responder->closed())
         onServerLost(target);
-    if (end == AttemptEnd::answered && turnedAwayElsewhere(target, attempt)) {
+    if (end == AttemptOutcome::answered && turnedAwayElsewhere(target, attempt)) {
         stayHome();
         return route();
     }
-    const bool wholeStream = end == AttemptEnd::answered && attempt.reader().eventCount() > 0;
+    const bool wholeStream = end == AttemptOutcome::answered && attempt.reader().eventCount() > 0;
     if (wholeStream && !target.isPeer && m_attempts == 1)
         m_state.habits.onEnded(*m_exchange->service, m_exchange->priority, loadName(*m_exchange),
                                attempt.reader().eventCount(), m_state.clock.now());
-    if (end == AttemptEnd::answered)
+    if (end == AttemptOutcome::answered)
         return deliver(attempt);
     const bool mayResume = m_exchange->service->isResumable && !m_exchange->lastEventId.empty();
     if (tryAgain(end, m_streamed && !mayResume))
@@ -411,9 +411,9 @@
 // A server that cannot be reached may just have been killed by a copy of this very request, sent
 // through another instance. The pause lets the crash mark arrive, which a next attempt asks for;
 // without it the copy would go on to kill a third server.
-void Dispatch::routeAgain(AttemptEnd end)
+void Dispatch::routeAgain(AttemptOutcome end)
 {
-    if (end != AttemptEnd::notConnected)
+    if (end != AttemptOutcome::notConnected)
         return route();
     m_client.postAfter(markArrival, [self = shared_from_this()] { self->route(); });
 }
@@ -458,25 +458,25 @@
     });
 }
 
-RetryQuestion Dispatch::retryQuestion(AttemptEnd end, int runs, bool callerHasSeenBytes) const
+RetryInput Dispatch::retryQuestion(AttemptOutcome end, int runs, bool callerHasSeenBytes) const
 {
-    RetryQuestion question;
-    question.end = end;
-    question.idempotent = m_exchange->service->idempotent;
-    question.callerHasSeenBytes = callerHasSeenBytes;
+    RetryInput input;
+    input.outcome = end;
+    input.idempotent = m_exchange->service->idempotent;
+    input.callerHasSeenBytes = callerHasSeenBytes;
     // Servers that refuse a stream which has to go on leave others to ask; its caller has a part.
-    question.attemptsMade = m_streamed ? runs : m_attempts;
-    question.runsMade = m_exchange->earlierRuns + runs;
-    question.mostRuns = m_exchange->service->maxAttempts;
-    question.remaining = remaining();
-    question.expected = m_exchange->service->expectedDuration;
-    return question;
+    input.attemptsMade = m_streamed ? runs : m_attempts;
+    input.runsMade = m_exchange->earlierRuns + runs;
+    input.maxRuns = m_exchange->service->maxAttempts;
+    input.remaining = remaining();
+    input.expected = m_exchange->service->expectedDuration;
+    return input;
 }
 
-bool Dispatch::tryAgain(AttemptEnd end, bool callerHasSeenBytes)
+bool Dispatch::tryAgain(AttemptOutcome end, bool callerHasSeenBytes)
 {
-    const RetryQuestion question = retryQuestion(end, m_runs, callerHasSeenBytes);
-    if (mayRetry(question) != RetryAnswer::retry || m_exchange->responder->closed())
+    const RetryInput input = retryQuestion(end, m_runs, callerHasSeenBytes);
+    if (decideRetry(input) != RetryDecision::retry || m_exchange->responder->closed())
         return false;
     // Only the instance next to the backend servers repeats a request that was sent; one that
     // forwarded it does so only where it reached nobody. Otherwise each would multiply the other's.
@@ -485,14 +485,15 @@
         return false;
     // The trial of a suspect request is one attempt at one server, even if that is gone already.
     // One that refused it lives, and has not tried it.
-    if (m_trial && end != AttemptEnd::refusedNotRun)
+    if (m_trial && end != AttemptOutcome::refusedNotRun)
         return false;
     // Only the issuer of a key may send its booking; there is nowhere else to try.
     if (m_toIssuer)
         return false;
     // An attempt that reached nobody cost no backend server anything, so it needs no budget.
-    const bool costsNothing = end == AttemptEnd::notConnected;
-    if (!costsNothing && !m_state.retries.take(m_exchange->customer->name, loadName(*m_exchange))) {
+    const bool costsNothing = end == AttemptOutcome::notConnected;
+    if (!costsNothing
+        && !m_state.retries.tryAcquire(m_exchange->customer->name, loadName(*m_exchange))) {
         trace("no retry: budget spent");
         return false;
     }
--- a/src/entry/dispatch.h
+++ b/src/entry/dispatch.h
@@ -93,7 +93,7 @@
     // For a stream that has to go on, where nobody takes it now, or no retry is left. True if it
     // will be tried again.
     bool waitsForRoom(const Refusal &refusal);
-    bool waitsForRetry(AttemptEnd end);
+    bool waitsForRetry(AttemptOutcome end);
     bool maySeekRoom() const;
     void afterRoomPause(std::function<void()> next);
     void send(const Target &target);
@@ -112,21 +112,21 @@
     bool roomElsewhere(double mostTaken) const;
     void dropPending(const Target &target);
     TransferLimits limitsFor(const Target &target) const;
-    void onAttemptEnd(const Target &target, AttemptEnd end, Attempt &attempt);
-    void routeAgain(AttemptEnd end);
-    void noteAttempt(const Target &target, AttemptEnd end);
+    void onAttemptEnd(const Target &target, AttemptOutcome end, Attempt &attempt);
+    void routeAgain(AttemptOutcome end);
+    void noteAttempt(const Target &target, AttemptOutcome end);
     void onServerLost(const Target &target);
     void checkServerAlive(const Target &target);
-    RetryQuestion retryQuestion(AttemptEnd end, int runs, bool callerHasSeenBytes) const;
-    bool tryAgain(AttemptEnd end, bool callerHasSeenBytes);
+    RetryInput retryQuestion(AttemptOutcome end, int runs, bool callerHasSeenBytes) const;
+    bool tryAgain(AttemptOutcome end, bool callerHasSeenBytes);
     bool turnedAwayElsewhere(const Target &target, const Attempt &attempt) const;
     void stayHome();
     void deliver(Attempt &attempt);
     void reply(HttpResponse answer, ResultCode code);
-    void breakOff(AttemptEnd end);
+    void breakOff(AttemptOutcome end);
 
     // The end.
-    void giveUp(AttemptEnd end);
+    void giveUp(AttemptOutcome end);
     void refuse(const Refusal &refusal);
     void finish(ResultCode code);
 
--- a/src/entry/protocol.h
+++ b/src/entry/protocol.h
@@ -42,12 +42,12 @@
     virtual ~ResponseReader() = default;
 
     // How the attempt ended, where the head or a piece already decides it; the transfer then stops.
-    virtual std::optional<AttemptEnd> onHead(int status, const Headers &headers) = 0;
+    virtual std::optional<AttemptOutcome> onHead(int status, const Headers &headers) = 0;
     // Appends to `out` what may be passed on.
-    virtual std::optional<AttemptEnd> onData(std::string_view data, std::string &out) = 0;
+    virtual std::optional<AttemptOutcome> onData(std::string_view data, std::string &out) = 0;
 
     // After the last byte of a transfer that ended as it should.
-    virtual AttemptEnd attemptEnd() const = 0;
+    virtual AttemptOutcome attemptEnd() const = 0;
 
     // True if pieces go to the caller as they come; known once the head is.
     virtual bool isStreaming() const = 0;
--- a/test/retry-test.cc
+++ b/test/retry-test.cc
@@ -8,21 +8,21 @@
 
 namespace {
 
-const std::vector<AttemptEnd> allEnds{
-    AttemptEnd::answered,       AttemptEnd::notConnected, AttemptEnd::refusedNotRun,
-    AttemptEnd::refusedForGood, AttemptEnd::brokenOff,    AttemptEnd::silent,
-    AttemptEnd::cutShort,       AttemptEnd::notOurs,      AttemptEnd::serverError};
+const std::vector<AttemptOutcome> allOutcomes{
+    AttemptOutcome::answered,  AttemptOutcome::notConnected,   AttemptOutcome::refusedNotRun,
+    AttemptOutcome::rejected,  AttemptOutcome::connectionLost, AttemptOutcome::silent,
+    AttemptOutcome::truncated, AttemptOutcome::mismatched,     AttemptOutcome::serverError};
 
-RetryQuestion anyQuestion()
+RetryInput anyInput()
 {
-    RetryQuestion question;
-    question.end = *rc::gen::elementOf(allEnds);
-    question.idempotent = *rc::gen::arbitrary<bool>();
-    question.callerHasSeenBytes = *rc::gen::arbitrary<bool>();
-    question.attemptsMade = *rc::gen::inRange(1, 6);
-    question.remaining = std::chrono::milliseconds(*rc::gen::inRange(-100, 5000));
-    question.expected = std::chrono::milliseconds(*rc::gen::inRange(1, 1000));
-    return question;
+    RetryInput input;
+    input.outcome = *rc::gen::elementOf(allOutcomes);
+    input.idempotent = *rc::gen::arbitrary<bool>();
+    input.callerHasSeenBytes = *rc::gen::arbitrary<bool>();
+    input.attemptsMade = *rc::gen::inRange(1, 6);
+    input.remaining = std::chrono::milliseconds(*rc::gen::inRange(-100, 5000));
+    input.expected = std::chrono::milliseconds(*rc::gen::inRange(1, 1000));
+    return input;
 }
 
 } // namespace
@@ -33,27 +33,28 @@
 TEST_CASE("mayRetry_bookingWithUnknownOutcome_neverRetries")
 {
     rc::prop("never after an unknown outcome", [] {
-        const RetryQuestion question = anyQuestion();
-        if (mayRetry(question) != RetryAnswer::retry)
+        const RetryInput input = anyInput();
+        if (decideRetry(input) != RetryDecision::retry)
             return;
-        RC_ASSERT(question.idempotent || certainlyNotRun(question.end));
-        RC_ASSERT(!question.callerHasSeenBytes);
-        RC_ASSERT(question.attemptsMade < mostAttempts);
-        RC_ASSERT(question.remaining >= question.expected);
-        RC_ASSERT(question.end != AttemptEnd::refusedForGood);
+        RC_ASSERT(input.idempotent || certainlyNotRun(input.outcome));
+        RC_ASSERT(!input.callerHasSeenBytes);
+        RC_ASSERT(input.attemptsMade < maxAttempts);
+        RC_ASSERT(input.remaining >= input.expected);
+        RC_ASSERT(input.outcome != AttemptOutcome::rejected);
     });
 }
 
 TEST_CASE("finalCode_always_saysNotRunOnlyWhereThatIsCertain")
 {
-    for (const AttemptEnd end : allEnds) {
-        if (end == AttemptEnd::answered)
+    for (const AttemptOutcome outcome : allOutcomes) {
+        if (outcome == AttemptOutcome::answered)
             continue;
         for (const bool idempotent : {false, true}) {
             for (const bool late : {false, true}) {
                 const bool saysNotRun
-                    = resultInfo(finalCode(end, idempotent, late)).runState == RunState::notRun;
-                CHECK(saysNotRun == certainlyNotRun(end));
+                    = resultInfo(finalResultCode(outcome, idempotent, late)).runState
+                    == RunState::notRun;
+                CHECK(saysNotRun == certainlyNotRun(outcome));
             }
         }
     }
@@ -71,8 +72,8 @@
         int retries = 0;
         for (int i = 0; i < requests; ++i) {
             budget.onRequest("c", "s", share);
-            for (int attempt = 1; attempt < mostAttempts; ++attempt)
-                retries += budget.take("c", "s") ? 1 : 0;
+            for (int attempt = 1; attempt < maxAttempts; ++attempt)
+                retries += budget.tryAcquire("c", "s") ? 1 : 0;
         }
         RC_ASSERT(retries <= 5 + share * requests + 1e-6);
     });
@@ -81,10 +82,10 @@
 TEST_CASE("retryBudget_ofOneCustomer_leavesTheOthersAlone")
 {
     RetryBudget budget(2);
-    CHECK(budget.take("a", "s"));
-    CHECK(budget.take("a", "s"));
-    CHECK_FALSE(budget.take("a", "s"));
-    CHECK(budget.take("b", "s"));
+    CHECK(budget.tryAcquire("a", "s"));
+    CHECK(budget.tryAcquire("a", "s"));
+    CHECK_FALSE(budget.tryAcquire("a", "s"));
+    CHECK(budget.tryAcquire("b", "s"));
 }
 
 // What the operator sees: a request on more servers than its service allows. In what order: it
@@ -92,17 +93,17 @@
 // counted its own attempts only.
 TEST_CASE("mayRetry_runsOfAllInstancesUsedUp_givesUp")
 {
-    RetryQuestion question;
-    question.end = AttemptEnd::serverError;
-    question.remaining = std::chrono::seconds(5);
-    question.mostRuns = 2;
-    question.runsMade = 1;
-    CHECK(mayRetry(question) == RetryAnswer::retry);
-    question.runsMade = 2;
-    CHECK(mayRetry(question) == RetryAnswer::giveUp);
-    question.runsMade = 0;
-    question.end = AttemptEnd::callerLeft;
-    CHECK(mayRetry(question) == RetryAnswer::giveUp);
+    RetryInput input;
+    input.outcome = AttemptOutcome::serverError;
+    input.remaining = std::chrono::seconds(5);
+    input.maxRuns = 2;
+    input.runsMade = 1;
+    CHECK(decideRetry(input) == RetryDecision::retry);
+    input.runsMade = 2;
+    CHECK(decideRetry(input) == RetryDecision::abandon);
+    input.runsMade = 0;
+    input.outcome = AttemptOutcome::callerLeft;
+    CHECK(decideRetry(input) == RetryDecision::abandon);
 }
 
 // What the operator sees: more retries than all instances may make. In what order: they are killed
@@ -112,17 +113,17 @@
 {
     RetryBudget budget;
     budget.setBurst(2);
-    CHECK_FALSE(budget.take("c", "s"));
+    CHECK_FALSE(budget.tryAcquire("c", "s"));
     for (int i = 0; i < 100; ++i)
         budget.onRequest("c", "s", 0.2);
-    CHECK(budget.take("c", "s"));
-    CHECK(budget.take("c", "s"));
-    CHECK_FALSE(budget.take("c", "s"));
+    CHECK(budget.tryAcquire("c", "s"));
+    CHECK(budget.tryAcquire("c", "s"));
+    CHECK_FALSE(budget.tryAcquire("c", "s"));
     for (int i = 0; i < 100; ++i)
         budget.onRequest("c", "s", 0.2);
     budget.setBurst(1);
-    CHECK(budget.take("c", "s"));
-    CHECK_FALSE(budget.take("c", "s"));
+    CHECK(budget.tryAcquire("c", "s"));
+    CHECK_FALSE(budget.tryAcquire("c", "s"));
 }
 
 // Guards against a bound that is spent once by each customer.
@@ -132,6 +133,6 @@
     budget.setBurst(1);
     for (int i = 0; i < 10; ++i)
         budget.onRequest("c" + std::to_string(i), "s", 0.2);
-    CHECK(budget.take("c1", "s"));
-    CHECK_FALSE(budget.take("c2", "s"));
+    CHECK(budget.tryAcquire("c1", "s"));
+    CHECK_FALSE(budget.tryAcquire("c2", "s"));
 }
