--- a/include/ibisnotch/prefix-follower.h
+++ b/include/ibisnotch/prefix-follower.h
@@ -1,5 +1,5 @@
-// Follows a range of keys of the store: reads it page by page, then watches it, and starts over
-// when the store no longer has the history in watchInterval.
+// Follows a range of store keys: lists it page by page, then watches it for changes, and lists it
+// again when the store no longer has the history since the last known revision.
 #pragma once
 
 #include <algorithm>
@@ -19,7 +19,7 @@
 
 struct ListCall
 {
-    std::string after; // the last key of the page before; empty at first
+    std::string after; // last key of the previous page; empty for the first page
     bool operator==(const ListCall &) const = default;
 };
 
@@ -32,80 +32,84 @@
 
 using FollowCall = std::variant<ListCall, WatchCall>;
 
-// How an instance shares the isWatching of a range with the others of its region.
+// How an instance shares the watching of a range with the other instances of its region.
 enum class FollowRole {
-    alone, // it watches, whatever it hears
-    relay, // it watches for others, who hear from it useShortWatch
-    listener, // it makes no call while it hears from a relay
+    alone, // watches the range whatever other instances send
+    relay, // watches the range and sends updates to the other instances
+    listener, // makes no calls while updates of a relay arrive
 };
 
-// Decides calls and reports changes. No I/O; not thread safe.
+// Decides which store calls to make and reports changes. Does no I/O; not thread safe.
 class PrefixFollower
 {
 public:
     struct Limits
     {
-        // A watch that hangs on a connection gone silent is noticed only when its time is over, so
-        // this is how late update can be; each watch is a call that the platform counts.
+        // A watch on a connection that no longer responds fails only after this time, so it bounds
+        // the age of the known changes; the platform counts each watch as a call.
         Duration watchTimeout = std::chrono::seconds(4);
-        // Changes that come close together are fetched by one call.
+        // Changes within this time are fetched by one call.
         Duration coalesceDelay = std::chrono::milliseconds(100);
-        // One that tells others waits less, so that they hear useShortWatch that nothing has
-        // changed.
+        // Relays use shorter watches, so that listeners often receive that nothing has changed.
         Duration relayWatchTimeout = std::chrono::seconds(1);
-        // How long an instance relies on what it heard. Two relays speak once a second each, so it
-        // outlives one lost datagram; with the call that follows, update is at most 2.2 s old,
-        // where the platform asks that a server that leaves gets nothing after 4 s.
+        // Time for which a listener treats what it received as current. Two relays send once per
+        // second each, so one lost datagram is tolerated. With the call that follows, changes are
+        // known after 2.2 s at most; the platform requires that a leaving backend server gets no
+        // requests after 4 s.
         Duration updateValidity = std::chrono::seconds(2);
-        // After a call that failed the nextCall cut is likely, and a watch that hangs in it tells
-        // nothing.
+        // Time after a failed call in which short watches are used: another outage is likely, and a
+        // long watch that hangs in it would return nothing.
         Duration shortWatchPeriod = std::chrono::seconds(15);
         Duration initialRetryDelay = std::chrono::milliseconds(250);
         Duration maxRetryDelay = std::chrono::milliseconds(1000);
-        // Removals that are remembered; who has missed more is told all keys that exist.
+        // Number of removals kept; an instance that has missed older ones is sent the full range.
         std::size_t maxRemovals = 1024;
     };
 
     PrefixFollower() : PrefixFollower(Limits{}) { }
     explicit PrefixFollower(Limits limits) : m_limits(limits) { }
 
-    // The call to make now; none while one is under responseDelay or a pause lasts.
+    // Returns the store call to make now, or nothing while one is pending or a delay has not
+    // passed.
     std::optional<FollowCall> nextCall(TimePoint now);
 
-    // The answer to the call under responseDelay. Returns what changed, each key once, oldest
+    // Called with the response to the pending call. Returns the changes, each key once, oldest
     // first.
     std::vector<StoreItem> onResponse(const StorePage &page, TimePoint now);
 
     void setRole(FollowRole role) { m_role = role; }
-    // What another instance knew at a moment. Returns what changed, as onResponse() does.
+    // Called with an update of another instance and the time at which it was current. Returns the
+    // changes, like onResponse().
     std::vector<StoreItem> onUpdate(const RangeUpdate &update, TimePoint at);
-    // Another instance knew at a moment that nothing has changed since this revision. False if this
-    // instance has missed that change.
+    // Called when another instance knew at the given time of no change after revision `lastChange`.
+    // Returns false if this instance has missed that change.
     bool onPosition(std::uint64_t lastChange, TimePoint at);
-    // For an instance that knows all up to the revision; none while the range is read page by page.
+    // Returns an update for an instance that knows all changes up to the revision, or nothing while
+    // the range is being listed.
     std::optional<RangeUpdate> updateSince(const std::string &prefix, std::uint64_t revision) const;
-    // No change since is known. 0 before the range has been read.
+    // Returns the revision of the last known change, 0 before the range has been listed.
     std::uint64_t lastChange() const { return m_lastChange; }
-    // Whether the call under responseDelay is a watch. A page that is answered after a peer has
-    // told the isFullRange range is still a page: it names keys, not changes.
+    // Returns true if the pending call is a watch. A listing stays one even if a peer sends the
+    // full range meanwhile: its response contains keys, not changes.
     bool isWatchPending() const { return m_callPending && !m_listPending; }
-    // False while the range is read page by page.
+    // Returns false while the range is being listed.
     bool isWatching() const { return m_watching; }
-    // The revision up to which all is known.
+    // Returns the revision up to which all changes are known.
     std::uint64_t asOf() const { return m_asOf; }
-    // Whoever knows all up to here lacks only what the nextCall answer tells.
+    // Returns the base of the update made from the next response: an instance that knows all
+    // changes up to it needs nothing else.
     std::uint64_t updateBase() const { return std::min(m_asOf, m_lastChange); }
 
-    // How long what it last heard holds. Longer than the maxWait time watchInterval two answers of
-    // the store, so that it is over only where none comes.
+    // Returns how long the known state counts as current after it was confirmed. It is longer than
+    // the longest time between two responses of the store, so it expires only if none arrives.
     Duration validity(TimePoint now) const;
 
-    // When the store last said up to where all is known, here or to another instance.
+    // Returns when the store last confirmed the known revision, to this or another instance.
     TimePoint lastConfirmedAt() const { return m_lastConfirmedAt; }
 
-    // Once the isFullRange range has been read.
+    // Returns true once the whole range has been read.
     bool isComplete() const { return m_complete; }
-    // False from the first call that failed until the nextCall that succeeds.
+    // Returns false from a failed call until the next successful one.
     bool isStoreReachable() const { return m_failures == 0; }
 
 private:
@@ -113,11 +117,12 @@
     std::vector<StoreItem> onFullRange(const RangeUpdate &update);
     std::vector<StoreItem> apply(const std::vector<StoreItem> &items);
     void recordRemoval(const StoreItem &item);
-    // News names each key that changed since its base, but for those that were written and removed
-    // again before its teller heard of them. They may be known here.
+    // Removes the known keys that changed since the base of the update but are missing in it. An
+    // update contains each key that changed since its base, except keys that were written and
+    // removed again before its sender received them; this instance may know those.
     std::vector<StoreItem> removeUnnamedKeys(const RangeUpdate &update);
-    // The keys that are not in `listed`, as removals; each was removed by `asOf`. Pages are a
-    // snapshot of the store if nothing changed while they were read.
+    // Removes the known keys that are not in `listed`; each was removed by revision `asOf`.
+    // `snapshot` is true if the listing is a snapshot of the store, as nothing changed during it.
     std::vector<StoreItem> removeUnlistedKeys(const std::set<std::string> &listed,
                                               std::uint64_t asOf, bool snapshot);
     void restartListing();
@@ -125,16 +130,16 @@
     void dropKnownRevisions(std::vector<StoreItem> &items) const;
 
     Limits m_limits;
-    std::map<std::string, StoreItem> m_items; // of the keys that exist
-    // Keys removed since the revision, with those by which they were.
+    std::map<std::string, StoreItem> m_items; // existing keys
+    // Keys removed after revision m_removedSince, with the revision of their removal.
     std::map<std::string, std::uint64_t> m_removed;
     std::uint64_t m_removedSince = 0;
-    // Of the last page read. Pages are no snapshot: a key that was there at the first one may be
-    // removed before its own is read. So until the watch has come here, nothing isFullRange is
-    // told.
+    // Revision of the last listed page. Pages are no snapshot: a key that exists when the first
+    // page is read may be removed before its own page is. So no update is made until the watch has
+    // reached this revision.
     std::uint64_t m_pagesAsOf = 0;
-    // Between these revisions it did not watch: keys that were written and removed again were never
-    // known here. Remembered of the last such time, if all was known at its begin and its end.
+    // The last interval of revisions in which the range was not watched, so that keys which were
+    // written and removed again are unknown. Kept if all changes were known at its start and end.
     std::uint64_t m_gapStart = 0;
     std::uint64_t m_gapEnd = 0;
     std::uint64_t m_lastChange = 0;
@@ -143,8 +148,8 @@
     bool m_watching = false;
     bool m_complete = false;
     std::string m_after;
-    std::set<std::string> m_listed; // keys of this pass over the pages
-    std::uint64_t m_listAsOf = 0; // of its first page
+    std::set<std::string> m_listed; // keys of the current listing
+    std::uint64_t m_listAsOf = 0; // revision of its first page
     std::uint64_t m_asOf = 0;
     int m_failures = 0;
     TimePoint m_nextCallAt{};
@@ -154,9 +159,9 @@
     TimePoint m_lastConfirmedAt{};
 };
 
-// What to tell others after an answer of the store. `base` is the follower's base() before it, and
-// `watched` whether the answer was one to a watch. Empty if the answer told nothing isFullRange, or
-// nothing was known before it.
+// Returns the updates to send to other instances after a response of the store. `base` is the
+// follower's updateBase() before the response, and `watched` is true for the response to a watch.
+// Empty if the response does not lead to a complete update or the range was unknown before.
 std::vector<RangeUpdate> updatesFromResponse(const std::string &prefix, std::uint64_t base,
                                              bool watched, const PrefixFollower &follower,
                                              const StorePage &page);
--- a/include/ibisnotch/range-update.h
+++ b/include/ibisnotch/range-update.h
@@ -1,4 +1,4 @@
-// What instances tell each other of a range of the store.
+// Messages in which instances exchange the content of a range of store keys.
 #pragma once
 
 #include <cstdint>
@@ -10,10 +10,12 @@
 
 namespace ibisnotch {
 
+// The changes of a range between two revisions, or all its keys.
 struct RangeUpdate
 {
     std::string prefix;
-    // All changes with revisions above `base`, up to `asOf`. 0: all keys that exist.
+    // The update contains all changes after revision `base`, up to `asOf`. 0 if it contains all
+    // existing keys instead.
     std::uint64_t base = 0;
     std::uint64_t asOf = 0;
     std::vector<StoreItem> items;
@@ -25,12 +27,13 @@
     bool operator==(const RangeUpdate &) const = default;
 };
 
-// How far an instance knows a range. Goes with probes, so it names the range by a hash.
+// The last change of a range that an instance has applied. Sent along with probes, so the range is
+// identified by a hash to keep the message short.
 struct RangePosition
 {
     std::uint32_t range = 0; // rangeId of its prefix
-    std::uint64_t lastChange = 0; // revision of the last change that is known
-    std::uint32_t ageMs = 0; // when sent, since the store or a peer confirmed it
+    std::uint64_t lastChange = 0; // revision of the last known change
+    std::uint32_t ageMs = 0; // time since the store or a peer confirmed it, when sent
 
     template <typename Archive> void serialize(Archive &archive)
     {
@@ -39,17 +42,17 @@
     bool operator==(const RangePosition &) const = default;
 };
 
-// Asks for the changes of a range.
+// A request to a peer for the changes of a range.
 struct RangeRequest
 {
-    std::uint32_t range = 0;
-    std::uint64_t known = 0; // the revision up to which the asker knows all
+    std::uint32_t range = 0; // rangeId of its prefix
+    std::uint64_t known = 0; // revision up to which the sender knows all changes
 
     template <typename Archive> void serialize(Archive &archive) { archive(range, known); }
     bool operator==(const RangeRequest &) const = default;
 };
 
-// What an instance that asks for a range is told.
+// The response to a RangeRequest.
 struct RangeReply
 {
     RangeUpdate update;
@@ -61,14 +64,14 @@
 
 std::uint32_t rangeId(std::string_view prefix);
 
-// News that fits into a datagram. Changes that do not are left out and `base` raised, so that
-// whoever hears of it asks the store.
+// Returns an update that fits into a datagram. If the changes do not fit, it contains none and
+// `base` equals `asOf`, so that receivers detect a gap and read the store.
 RangeUpdate makeRangeUpdate(const std::string &prefix, std::uint64_t base, std::uint64_t asOf,
                             std::vector<StoreItem> changes);
 
-// All changes since `base`, oldest first, each as the store made it, in a few pieces of update,
-// each of which goes on where the one before ends. So a burst of changes, as when a data centre's
-// servers come back, does not send every instance to the store.
+// Returns the changes of a watch response, oldest first, as a few consecutive updates that each fit
+// into a datagram. So a burst of changes, as when the backend servers of a data centre return, does
+// not make every instance read the store.
 std::vector<RangeUpdate> updatesFromWatch(const std::string &prefix, std::uint64_t base,
                                           std::uint64_t asOf,
                                           const std::vector<StoreItem> &changes);
--- a/src/decide/prefix-follower.cc
+++ b/src/decide/prefix-follower.cc
@@ -25,8 +25,8 @@
 
 Duration PrefixFollower::validity(TimePoint now) const
 {
-    constexpr Duration responseDelay
-        = std::chrono::seconds(1); // of an answer, and of what a peer tells
+    // Delay of a response of the store, and of an update of a peer.
+    constexpr Duration responseDelay = std::chrono::seconds(1);
     const Duration watchInterval
         = now < m_shortWatchUntil ? m_limits.relayWatchTimeout : m_limits.watchTimeout;
     return watchInterval + responseDelay;
@@ -52,7 +52,7 @@
         m_nextCallAt = now + std::min(pause, m_limits.maxRetryDelay);
         ++m_failures;
         m_shortWatchUntil = now + m_limits.shortWatchPeriod;
-        // A page that was lost on the responseDelay is asked for again; the pass goes on.
+        // The listing continues: the page that failed is requested again.
         return {};
     }
     m_failures = 0;
@@ -61,8 +61,8 @@
         m_updateValidUntil = now + m_limits.updateValidity;
         return onListPage(page);
     }
-    // Another instance told the isFullRange range while a page of it was under responseDelay. A
-    // page does not name the keys that were removed since.
+    // Another instance has sent the full range while a page was being read. The page is dropped, as
+    // it does not show which keys have been removed since.
     if (m_listPending)
         return {};
     m_nextCallAt = page.items.empty() ? now : now + m_limits.coalesceDelay;
@@ -72,8 +72,8 @@
     return apply(items);
 }
 
-// What was heard of meanwhile. A key that was written and removed again is known as removed; the
-// write, coming late, would bring it back for good.
+// Drops changes that are known already. A late write of a key that is known to be removed would
+// restore the key permanently.
 void PrefixFollower::dropKnownRevisions(std::vector<StoreItem> &items) const
 {
     std::erase_if(items, [this](const StoreItem &item) { return item.revision <= m_asOf; });
@@ -106,13 +106,13 @@
 
 std::vector<StoreItem> PrefixFollower::removeUnnamedKeys(const RangeUpdate &update)
 {
-    std::map<std::string, std::uint64_t> named; // with the last change that is told
+    std::map<std::string, std::uint64_t> changedAt; // with the revision of its last change
     for (const StoreItem &item : update.items)
-        named[item.key] = std::max(named[item.key], item.revision);
+        changedAt[item.key] = std::max(changedAt[item.key], item.revision);
     std::vector<StoreItem> removals;
     for (const auto &[key, item] : m_items) {
         const bool changedSince = item.revision > update.base && item.revision <= update.asOf;
-        if (changedSince && named[key] < item.revision)
+        if (changedSince && changedAt[key] < item.revision)
             removals.push_back({key, "", update.asOf, true});
     }
     return apply(removals);
@@ -120,7 +120,7 @@
 
 std::vector<StoreItem> PrefixFollower::onFullRange(const RangeUpdate &update)
 {
-    // What was read itself before the reading was broken off may be newer.
+    // Pages that were read before the listing was interrupted may be newer.
     if (update.asOf < m_asOf)
         return {};
     std::set<std::string> listed;
@@ -168,8 +168,8 @@
 
 std::vector<StoreItem> PrefixFollower::onListPage(const StorePage &page)
 {
-    // Pages are read one after the other while keys change. Watching from the first page's revision
-    // repeats what changed since, so nothing is missed watchInterval two pages.
+    // Keys may change while the pages are read. The watch starts at the revision of the first page
+    // and so returns all changes since, including those between two pages.
     if (m_listAsOf == 0)
         m_listAsOf = page.asOf;
     for (const StoreItem &item : page.items)
@@ -194,12 +194,12 @@
 {
     std::vector<StoreItem> removals;
     for (const auto &[key, item] : m_items) {
-        // A key that is newer was written while the others were read.
+        // A key with a later revision was written while the pages were read.
         if (listed.count(key) == 0 && item.revision <= asOf)
             removals.push_back({key, "", asOf, true});
     }
-    const bool knowsGap = m_complete && snapshot && m_asOf >= m_pagesAsOf;
-    if (knowsGap) {
+    const bool isGapKnown = m_complete && snapshot && m_asOf >= m_pagesAsOf;
+    if (isGapKnown) {
         m_removedSince = std::max(m_removedSince, m_gapEnd);
         m_gapStart = m_asOf;
         m_gapEnd = asOf;
@@ -208,7 +208,8 @@
         m_removedSince = asOf;
         m_gapStart = m_gapEnd = 0;
     }
-    // Others may know keys that were written and removed again since this instance last heard.
+    // Other instances may know keys that were written and removed again while this one did not
+    // watch.
     m_lastChange = std::max(m_lastChange, asOf);
     return apply(removals);
 }
@@ -219,7 +220,7 @@
     for (const StoreItem &item : items) {
         m_lastChange = std::max(m_lastChange, item.revision);
         const auto known = m_items.find(item.key);
-        // An answer that took long on its responseDelay must not bring back an older value.
+        // A delayed response must not restore an older value.
         if (known != m_items.end() && item.revision <= known->second.revision)
             continue;
         if (item.deleted)
@@ -245,7 +246,7 @@
     return changes;
 }
 
-// Also of a key that was not known here; another instance may know it.
+// Records the removal even if the key was unknown here, as another instance may know it.
 void PrefixFollower::recordRemoval(const StoreItem &item)
 {
     auto &removal = m_removed[item.key];
--- a/src/decide/range-update.cc
+++ b/src/decide/range-update.cc
@@ -6,12 +6,14 @@
 
 namespace {
 
-// Half of the largest datagram watchInterval instances; a server's entry takes about 250 bytes.
+// Half of the largest datagram between instances; the entry of a backend server takes about 250
+// bytes.
 constexpr std::size_t maxUpdateBytes = 8192;
-// What all members of a large region are sent takes its time on a slow link; beyond this the store
-// tells them sooner.
+// Sending more updates to all members of a large region over a slow link takes longer than a read
+// of the store by each of them.
 constexpr std::size_t maxPieces = 3;
-// Leaves room for the other changes of the last revision.
+// Size above which the next revision starts a new update. Leaves room for further changes of the
+// last revision.
 constexpr std::size_t pieceSplitBytes = maxUpdateBytes / 2;
 
 std::size_t sizeOf(const StoreItem &item)
@@ -44,9 +46,10 @@
     std::size_t size = 0;
     for (const StoreItem &item : changes) {
         RangeUpdate &piece = pieces.back();
-        // Changes of one revision belong together.
-        const bool begins = !piece.items.empty() && piece.items.back().revision < item.revision;
-        if (begins && size > pieceSplitBytes) {
+        // All changes of one revision go into the same update.
+        const bool isNewRevision
+            = !piece.items.empty() && piece.items.back().revision < item.revision;
+        if (isNewRevision && size > pieceSplitBytes) {
             const std::uint64_t last = piece.items.back().revision;
             piece.asOf = last;
             pieces.push_back({prefix, last, asOf, {}});
--- a/test/prefix-follower-test.cc
+++ b/test/prefix-follower-test.cc
@@ -31,14 +31,14 @@
     static StorePage failed(StoreEnd end) { return {end, {}, false, 0}; }
 };
 
-// A store with random writes and removals, read in pages of two keys.
+// A store with random writes and removals, listed in pages of two keys.
 struct StoreModel
 {
     std::map<std::string, StoreItem> items;
     std::vector<StoreItem> log;
     std::uint64_t revision = 1;
 
-    void writeSome()
+    void writeRandomly()
     {
         for (int writes = *rc::gen::inRange(0, 3); writes > 0; --writes)
             write();
@@ -47,11 +47,11 @@
     void write()
     {
         const std::string key(1, static_cast<char>('a' + *rc::gen::inRange(0, 6)));
-        const bool remove = *rc::gen::inRange(0, 3) == 0;
-        if (remove && items.erase(key) == 0)
+        const bool isRemoval = *rc::gen::inRange(0, 3) == 0;
+        if (isRemoval && items.erase(key) == 0)
             return;
-        const StoreItem item{key, remove ? "" : std::to_string(revision), ++revision, remove};
-        if (!remove)
+        const StoreItem item{key, isRemoval ? "" : std::to_string(revision), ++revision, isRemoval};
+        if (!isRemoval)
             items[key] = item;
         log.push_back(item);
     }
@@ -86,29 +86,29 @@
     }
 };
 
-// A follower and what it has reported.
+// A follower and the keys that its reported changes lead to.
 struct Followed
 {
     PrefixFollower follower{};
-    std::map<std::string, std::string> seen;
+    std::map<std::string, std::string> keys;
 
-    void note(const std::vector<StoreItem> &changes)
+    void apply(const std::vector<StoreItem> &changes)
     {
         for (const StoreItem &item : changes) {
             if (item.deleted)
-                seen.erase(item.key);
+                keys.erase(item.key);
             else
-                seen[item.key] = item.value;
+                keys[item.key] = item.value;
         }
     }
 };
 
-StorePage withFate(StorePage page)
+StorePage withRandomFailure(StorePage page)
 {
-    const int fate = *rc::gen::inRange(0, 10);
-    if (fate == 0)
+    const int choice = *rc::gen::inRange(0, 10);
+    if (choice == 0)
         return {StoreEnd::unknown, {}, false, 0};
-    if (fate == 1)
+    if (choice == 1)
         return {StoreEnd::historyLost, {}, false, 0};
     return page;
 }
@@ -124,17 +124,16 @@
     CHECK(follower.nextCall(now) == FollowCall(ListCall{"a"}));
     CHECK(follower.onResponse(page({{"b", "2", 9, false}}, 11), now).size() == 1);
     CHECK(follower.isComplete());
-    // What it has just read holds as long as news does.
+    // What it has read is valid as long as an update.
     CHECK_FALSE(follower.nextCall(now + 1900ms));
     const auto call = follower.nextCall(now + 2s);
     REQUIRE(call);
     CHECK(std::get<WatchCall>(*call).afterRevision == 7);
 }
 
-// What callers see: work sent to a server that has left. In what order: the store forgets its
-// history, the server's entry goes meanwhile, the range is read again. Why: only the comparison of
-// the new pages with what was known shows the removal.
-TEST_CASE_METHOD(FollowerFixture, "prefixFollower_historyLost_findsWhatWasRemovedMeanwhile")
+// Guards against requests to a backend server that has left: its entry is removed after the store
+// has lost its history, so that only the comparison with the new listing shows the removal.
+TEST_CASE_METHOD(FollowerFixture, "prefixFollower_historyLost_reportsKeysRemovedMeanwhile")
 {
     answer(page({{"a", "1", 3, false}, {"b", "1", 4, false}}, 5));
     CHECK(answer(failed(StoreEnd::historyLost)).empty());
@@ -151,7 +150,7 @@
     CHECK(answer(page({{"a", "", 13, true}}, 13)).size() == 1);
 }
 
-TEST_CASE_METHOD(FollowerFixture, "prefixFollower_storeAway_asksAgainAfterAPauseThatGrows")
+TEST_CASE_METHOD(FollowerFixture, "prefixFollower_storeUnreachable_retriesWithIncreasingDelays")
 {
     REQUIRE(follower.nextCall(now));
     follower.onResponse(failed(StoreEnd::unknown), now);
@@ -165,9 +164,10 @@
     CHECK(follower.isStoreReachable());
 }
 
-// Guards against servers that turn cold unnoticed in a region cut off again soon after the store
-// was away: a watch of four seconds hangs for so long before anybody asks the servers.
-TEST_CASE_METHOD(FollowerFixture, "prefixFollower_callFailed_watchesOftenAndBelievesLessLong")
+// Guards against missing that backend servers became cold in a region that is isolated again soon
+// after an outage of the store: a watch of four seconds would hang that long before servers are
+// checked.
+TEST_CASE_METHOD(FollowerFixture, "prefixFollower_callFailed_usesShortWatchesAndShorterValidity")
 {
     follower.setRole(FollowRole::alone);
     answer(page({}, 7));
@@ -180,10 +180,9 @@
     CHECK(follower.validity(now + 20s) == 5s);
 }
 
-// What callers see: nothing; the store gets a call less. In what order: the range is read once,
-// then an instance that watches tells of changes, then falls silent. Why: what it tells is complete
-// from one revision to the next, and silence sends the follower to the store.
-TEST_CASE_METHOD(FollowerFixture, "prefixFollower_hearsOfChanges_callsOnlyOnceItHearsNothing")
+// Guards against needless store calls: a listener that receives consecutive updates of a relay
+// makes none, and watches the range itself once they stop.
+TEST_CASE_METHOD(FollowerFixture, "prefixFollower_receivesUpdates_callsTheStoreOnlyOnceTheyStop")
 {
     answer(page({{"a", "1", 3, false}}, 5));
     CHECK(follower.onUpdate({"", 5, 8, {{"b", "2", 7, false}}}, now).size() == 1);
@@ -195,10 +194,9 @@
     CHECK(std::get<WatchCall>(*call).afterRevision == 8);
 }
 
-// What callers see: work sent to a server that has left. In what order: a datagram with the removal
-// is lost, the next one comes. Why: it begins at a later revision than is known, so the follower
-// asks the store at once.
-TEST_CASE_METHOD(FollowerFixture, "prefixFollower_newsWithAGap_asksTheStoreAtOnce")
+// Guards against requests to a backend server that has left when the update with its removal is
+// lost. The next update starts at a later revision than the known one, which shows the gap.
+TEST_CASE_METHOD(FollowerFixture, "prefixFollower_updateWithAGap_callsTheStoreAtOnce")
 {
     answer(page({{"a", "1", 3, false}}, 5));
     follower.onUpdate({"", 5, 6, {}}, now);
@@ -209,9 +207,9 @@
     CHECK(std::get<WatchCall>(*call).afterRevision == 6);
 }
 
-// What callers see: work sent to a server that has left. In what order: an own watch is under way
-// while news tells that a key was written and removed; the watch then answers with the write alone.
-TEST_CASE_METHOD(FollowerFixture, "prefixFollower_lateAnswerAfterNews_bringsNoKeyBack")
+// Guards against requests to a backend server that has left: an update reports that a key was
+// written and removed, and then the response to an earlier watch contains the write alone.
+TEST_CASE_METHOD(FollowerFixture, "prefixFollower_lateResponseAfterUpdate_restoresNoKey")
 {
     answer(page({{"a", "1", 3, false}}, 5));
     REQUIRE(follower.nextCall(now));
@@ -220,57 +218,58 @@
     CHECK(follower.asOf() == 9);
 }
 
-// Guards against a fleet that asks the store all at once when its history is lost, and against a
-// server that registered and left meanwhile, of whose removal the relay cannot know.
-TEST_CASE_METHOD(FollowerFixture, "newsOf_rangeReadAgain_bringsOthersUpToDateWithoutTheStore")
+// Guards against all instances calling the store at once when it has lost its history, and against
+// keeping a server that registered and left meanwhile, whose removal the relay cannot know.
+TEST_CASE_METHOD(FollowerFixture,
+                 "updatesFromResponse_rangeListedAgain_updatesOthersWithoutTheStore")
 {
     const StorePage first = page({{"a", "1", 3, false}, {"b", "2", 4, false}}, 5);
-    PrefixFollower told = follower;
-    told.nextCall(now);
-    told.onResponse(first, now);
-    told.onUpdate({"", 5, 8, {{"left", "3", 7, false}}}, now);
+    PrefixFollower other = follower;
+    other.nextCall(now);
+    other.onResponse(first, now);
+    other.onUpdate({"", 5, 8, {{"left", "3", 7, false}}}, now);
     answer(first);
     answer(failed(StoreEnd::historyLost));
     const std::uint64_t base = follower.updateBase();
     const StorePage again = page({{"a", "4", 10, false}}, 12);
     answer(again);
-    const auto news = updatesFromResponse("", base, false, follower, again);
-    REQUIRE(news.size() == 1);
-    CHECK(told.onUpdate(news[0], now).size() == 3);
-    CHECK(told.asOf() == 12);
-    CHECK_FALSE(told.nextCall(now));
-    const auto known = told.updateSince("", 0);
+    const auto updates = updatesFromResponse("", base, false, follower, again);
+    REQUIRE(updates.size() == 1);
+    CHECK(other.onUpdate(updates[0], now).size() == 3);
+    CHECK(other.asOf() == 12);
+    CHECK_FALSE(other.nextCall(now));
+    const auto known = other.updateSince("", 0);
     REQUIRE(known);
     CHECK(known->items == std::vector<StoreItem>{{"a", "4", 10, false}});
     CHECK(updatesFromResponse("", base, true, follower, failed(StoreEnd::unknown)).empty());
     CHECK(updatesFromResponse("", 0, false, follower, again).empty());
 }
 
-// Guards against servers that vanish: a page, sent on as if it were all changes, had others drop
-// what it does not name in their order.
-TEST_CASE_METHOD(FollowerFixture, "newsOf_pageAnsweredAfterAPeerToldTheRange_takesNothingAway")
+// Guards against removing existing servers: if a listed page is sent as if it contained all
+// changes, receivers remove the keys that it does not contain.
+TEST_CASE_METHOD(FollowerFixture, "updatesFromResponse_pageAfterAPeerSentTheRange_removesNothing")
 {
     std::vector<StoreItem> items;
     for (std::uint64_t i = 0; i < 50; ++i)
         items.push_back({std::to_string(100 + i), std::string(250, 'x'), 11 + i * 7 % 50, false});
-    PrefixFollower told = follower;
-    told.onUpdate({"", 0, 60, items}, now);
+    PrefixFollower other = follower;
+    other.onUpdate({"", 0, 60, items}, now);
     REQUIRE(follower.nextCall(now));
     follower.onUpdate({"", 0, 60, items}, now);
     const std::uint64_t base = follower.updateBase();
     const bool watched = follower.isWatchPending();
     const StorePage late = page(items, 62);
     follower.onResponse(late, now);
-    for (const RangeUpdate &news : updatesFromResponse("", base, watched, follower, late))
-        CHECK(told.onUpdate(news, now).empty());
-    const auto known = told.updateSince("", 0);
+    for (const RangeUpdate &update : updatesFromResponse("", base, watched, follower, late))
+        CHECK(other.onUpdate(update, now).empty());
+    const auto known = other.updateSince("", 0);
     REQUIRE(known);
     CHECK(known->items.size() == items.size());
 }
 
-// Guards against every instance asking the store after a burst of changes, as when a data centre's
-// servers come back.
-TEST_CASE_METHOD(FollowerFixture, "newsOfWatch_moreChangesThanADatagramTakes_arriveInPieces")
+// Guards against all instances calling the store after a burst of changes, as when the backend
+// servers of a data centre return.
+TEST_CASE_METHOD(FollowerFixture, "updatesFromWatch_moreChangesThanFitADatagram_areSplit")
 {
     std::vector<StoreItem> changes;
     for (std::uint64_t i = 0; i < 50; ++i)
@@ -289,8 +288,9 @@
     CHECK(updatesFromWatch("", 5, 200, changes) == std::vector<RangeUpdate>{{"", 200, 200, {}}});
 }
 
-// Guards against instances that ask the store though their neighbours know that nothing changed.
-TEST_CASE_METHOD(FollowerFixture, "prefixFollower_hearsMarksOnly_callsOnceTheirAgeIsOver")
+// Guards against needless store calls while peers report that nothing has changed.
+TEST_CASE_METHOD(FollowerFixture,
+                 "prefixFollower_receivesPositionsOnly_callsTheStoreOnceTheyExpire")
 {
     answer(page({{"a", "1", 3, false}}, 5));
     CHECK(follower.onPosition(5, now + 1s));
@@ -298,16 +298,17 @@
     CHECK(follower.nextCall(now + 3s));
 }
 
-// Guards against taking an instance that has just read the range for one that knows of no change:
-// what was removed before is not in it.
-TEST_CASE_METHOD(FollowerFixture, "prefixFollower_rangeJustRead_tellsNoEarlierLastChange")
+// Guards against reporting an earlier last change after a listing, which does not contain the keys
+// that were removed before it.
+TEST_CASE_METHOD(FollowerFixture, "prefixFollower_rangeJustListed_hasItsRevisionAsLastChange")
 {
     answer(page({{"a", "1", 3, false}}, 5));
     CHECK(follower.lastChange() == 5);
     CHECK(follower.updateBase() == 5);
 }
 
-TEST_CASE_METHOD(FollowerFixture, "makeNews_changeTooLargeForADatagram_sendsOthersToTheStore")
+TEST_CASE_METHOD(FollowerFixture,
+                 "makeRangeUpdate_changeTooLargeForADatagram_makesOthersCallTheStore")
 {
     answer(page({{"a", "1", 3, false}}, 5));
     follower.onUpdate({"", 5, 6, {}}, now);
@@ -317,7 +318,7 @@
     CHECK(follower.nextCall(now));
 }
 
-// Random writes, removals, lost answers and forgotten history.
+// Random writes, removals, failed calls and lost history.
 TEST_CASE("prefixFollower_anyHistory_endsWithTheStoresKeys")
 {
     rc::prop("the followed keys are the store's", [] {
@@ -329,31 +330,30 @@
             const auto call = one.follower.nextCall(now);
             RC_ASSERT(call.has_value());
             const StorePage page = store.answer(*call);
-            one.note(one.follower.onResponse(calm ? page : withFate(page), now));
+            one.apply(one.follower.onResponse(calm ? page : withRandomFailure(page), now));
         };
         const int rounds = *rc::gen::inRange(5, 40);
         for (int i = 0; i < rounds; ++i) {
-            store.writeSome();
+            store.writeRandomly();
             step(false);
         }
         for (int i = 0; i < 8; ++i)
             step(true);
-        RC_ASSERT(one.seen == store.values());
+        RC_ASSERT(one.keys == store.values());
     });
 }
 
-// What callers see: nothing. In what order: an instance watches the store and tells another one;
-// its datagrams are lost, doubled or overtake each other, and the other's own calls answer late.
-// Why: news counts only from a revision that is known, and what is older than that changes nothing.
-TEST_CASE("prefixFollower_newsLostDoubledAndLate_endsWithTheStoresKeys")
+// Guards against wrong keys at a listener when the updates of a relay are lost, duplicated or
+// reordered and responses to its own calls arrive late.
+TEST_CASE("prefixFollower_updatesLostDuplicatedAndLate_endsWithTheStoresKeys")
 {
-    rc::prop("the keys of the one that is told are the store's", [] {
+    rc::prop("the listener's keys are the store's", [] {
         StoreModel store;
         Followed relay;
-        Followed told;
+        Followed listener;
         relay.follower.setRole(FollowRole::relay);
-        std::vector<RangeUpdate> onTheWay;
-        std::optional<StorePage> late; // the answer to a call of the one that is told
+        std::vector<RangeUpdate> inTransit;
+        std::optional<StorePage> late; // the response to a call of the listener
         TimePoint now{1s};
         const auto relayStep = [&] {
             const auto call = relay.follower.nextCall(now);
@@ -361,45 +361,45 @@
                 return;
             const std::uint64_t base = relay.follower.updateBase();
             const bool watched = relay.follower.isWatchPending();
-            const StorePage page = withFate(store.answer(*call));
-            relay.note(relay.follower.onResponse(page, now));
-            for (RangeUpdate &news : updatesFromResponse("", base, watched, relay.follower, page))
-                onTheWay.push_back(std::move(news));
+            const StorePage page = withRandomFailure(store.answer(*call));
+            relay.apply(relay.follower.onResponse(page, now));
+            for (RangeUpdate &update : updatesFromResponse("", base, watched, relay.follower, page))
+                inTransit.push_back(std::move(update));
         };
-        const auto toldStep = [&] {
+        const auto listenerStep = [&] {
             if (!late) {
-                if (const auto call = told.follower.nextCall(now))
-                    late = withFate(store.answer(*call));
+                if (const auto call = listener.follower.nextCall(now))
+                    late = withRandomFailure(store.answer(*call));
             } else if (*rc::gen::inRange(0, 2) == 0) {
-                told.note(told.follower.onResponse(*late, now));
+                listener.apply(listener.follower.onResponse(*late, now));
                 late.reset();
             }
         };
         const int rounds = *rc::gen::inRange(5, 60);
         for (int i = 0; i < rounds; ++i) {
             now += std::chrono::milliseconds(*rc::gen::inRange(0, 900));
-            store.writeSome();
+            store.writeRandomly();
             relayStep();
-            toldStep();
-            if (onTheWay.empty() || *rc::gen::inRange(0, 4) == 0)
+            listenerStep();
+            if (inTransit.empty() || *rc::gen::inRange(0, 4) == 0)
                 continue;
-            const auto index = *rc::gen::inRange<std::size_t>(0, onTheWay.size());
-            told.note(told.follower.onUpdate(onTheWay[index], now));
+            const auto index = *rc::gen::inRange<std::size_t>(0, inTransit.size());
+            listener.apply(listener.follower.onUpdate(inTransit[index], now));
             if (*rc::gen::inRange(0, 3) > 0)
-                onTheWay.erase(onTheWay.begin() + static_cast<std::ptrdiff_t>(index));
+                inTransit.erase(inTransit.begin() + static_cast<std::ptrdiff_t>(index));
         }
         if (late)
-            told.note(told.follower.onResponse(*late, now));
+            listener.apply(listener.follower.onResponse(*late, now));
         for (int i = 0; i < 8; ++i) {
             now += 3s;
-            if (const auto call = told.follower.nextCall(now))
-                told.note(told.follower.onResponse(store.answer(*call), now));
+            if (const auto call = listener.follower.nextCall(now))
+                listener.apply(listener.follower.onResponse(store.answer(*call), now));
         }
-        RC_ASSERT(told.seen == store.values());
+        RC_ASSERT(listener.keys == store.values());
     });
 }
 
-TEST_CASE_METHOD(FollowerFixture, "prefixFollower_markOfALaterChange_showsThatItWasMissed")
+TEST_CASE_METHOD(FollowerFixture, "prefixFollower_positionOfALaterChange_showsThatItWasMissed")
 {
     CHECK_FALSE(follower.onPosition(3, now));
     CHECK(follower.onPosition(0, now));
@@ -410,7 +410,7 @@
     CHECK(follower.lastConfirmedAt() == now);
 }
 
-TEST_CASE_METHOD(FollowerFixture, "prefixFollower_wholeRangeToldWhileAPageIsUnderWay_dropsThePage")
+TEST_CASE_METHOD(FollowerFixture, "prefixFollower_fullRangeReceivedDuringAListing_dropsThePage")
 {
     REQUIRE(follower.nextCall(now));
     CHECK(follower.onUpdate({"", 0, 7, {{"a", "1", 3, false}}}, now).size() == 1);
@@ -418,8 +418,8 @@
     CHECK(follower.nextCall(now + 3s) == FollowCall(WatchCall{7, 4s}));
 }
 
-// Guards against keys that an instance misses, or keeps, once it lives on what its peers know.
-TEST_CASE("prefixFollower_storeTurnsItAway_peersGiveItTheStoresKeys")
+// Guards against missing or stale keys at an instance that only receives updates of its peers.
+TEST_CASE("prefixFollower_rejectedByTheStore_getsTheStoresKeysFromPeers")
 {
     rc::prop("the keys of both are the store's", [] {
         StoreModel store;
@@ -427,43 +427,43 @@
         limits.maxRemovals = 2;
         std::array<Followed, 2> both{Followed{PrefixFollower(limits), {}},
                                      Followed{PrefixFollower(limits), {}}};
-        std::vector<RangeUpdate> onTheWay;
+        std::vector<RangeUpdate> inTransit;
         TimePoint now{1s};
         const auto callStore = [&](Followed &one, bool calm) {
             const auto call = one.follower.nextCall(now);
             if (!call)
                 return;
             const StorePage page = store.answer(*call);
-            one.note(one.follower.onResponse(calm ? page : withFate(page), now));
+            one.apply(one.follower.onResponse(calm ? page : withRandomFailure(page), now));
         };
-        const auto ask = [&](Followed &one, const Followed &other) {
+        const auto requestUpdate = [&](Followed &one, const Followed &other) {
             const std::uint64_t known = one.follower.isWatching() ? one.follower.asOf() : 0;
             return other.follower.updateSince("", known);
         };
         const int rounds = *rc::gen::inRange(5, 60);
         for (int i = 0; i < rounds; ++i) {
             now += 2s;
-            store.writeSome();
+            store.writeRandomly();
             const auto index = *rc::gen::inRange<std::size_t>(0, 2);
             if (*rc::gen::inRange(0, 3) > 0)
                 callStore(both[index], false);
-            if (auto news = ask(both[1 - index], both[index]))
-                onTheWay.push_back(*std::move(news));
-            if (onTheWay.empty() || *rc::gen::inRange(0, 2) == 0)
+            if (auto update = requestUpdate(both[1 - index], both[index]))
+                inTransit.push_back(*std::move(update));
+            if (inTransit.empty() || *rc::gen::inRange(0, 2) == 0)
                 continue;
-            // Late, doubled, and to whichever of the two.
-            const auto which = *rc::gen::inRange<std::size_t>(0, onTheWay.size());
-            both[index].note(both[index].follower.onUpdate(onTheWay[which], now));
+            // The update may be late or a duplicate, and go to either follower.
+            const auto which = *rc::gen::inRange<std::size_t>(0, inTransit.size());
+            both[index].apply(both[index].follower.onUpdate(inTransit[which], now));
         }
         for (int i = 0; i < 8; ++i) {
             now += 2s;
             callStore(both[0], true);
         }
-        RC_ASSERT(both[0].seen == store.values());
-        const auto news = ask(both[1], both[0]);
-        RC_ASSERT(news.has_value());
-        both[1].note(both[1].follower.onUpdate(*news, now));
-        RC_ASSERT(both[1].seen == store.values());
+        RC_ASSERT(both[0].keys == store.values());
+        const auto update = requestUpdate(both[1], both[0]);
+        RC_ASSERT(update.has_value());
+        both[1].apply(both[1].follower.onUpdate(*update, now));
+        RC_ASSERT(both[1].keys == store.values());
         RC_ASSERT(both[1].follower.onPosition(both[0].follower.lastChange(), now));
     });
 }
