--- a/src/entry/chat-protocol.cc
+++ b/src/entry/chat-protocol.cc
@@ -79,7 +79,7 @@
 public:
     std::vector<std::unique_ptr<Filter>> filters(EntryState &state) const override
     {
-        return makeFilters(state);
+        return makeChatFilters(state);
     }
 
     bool needsBackendServer(const HttpRequest &request, bool) const override
--- a/src/entry/filters.cc
+++ b/src/entry/filters.cc
@@ -16,10 +16,10 @@
 namespace {
 
 // Loops between gateways, and forged paths: callers may not send one.
-class PathFilter final : public Filter
+class ForwardPathFilter final : public Filter
 {
 public:
-    explicit PathFilter(EntryState &state) : m_state(state) { }
+    explicit ForwardPathFilter(EntryState &state) : m_state(state) { }
 
     std::optional<Refusal> apply(Exchange &exchange) override
     {
@@ -55,16 +55,16 @@
         const std::string token = bearerToken(exchange.request.headers);
         if (token.empty() && !exchange.fromPeer)
             return Refusal{ResultCode::unknownCustomer, "no bearer token", {}};
-        exchange.customer = exchange.fromPeer ? toldByPeer(exchange)
+        exchange.customer = exchange.fromPeer ? findForwardedCustomer(exchange)
                                               : findCustomerByKey(exchange.config(), token);
         if (exchange.customer == nullptr)
-            return unknownCustomer(m_state, exchange);
+            return unknownCustomerRefusal(m_state, exchange);
         exchange.trace.customer = exchange.customer->name;
         return std::nullopt;
     }
 
 private:
-    static const Customer *toldByPeer(const Exchange &exchange)
+    static const Customer *findForwardedCustomer(const Exchange &exchange)
     {
         const auto &customers = exchange.config().customers;
         const auto found
@@ -182,9 +182,9 @@
 private:
     static std::optional<Duration> parseMilliseconds(const std::string &text)
     {
-        constexpr long long longest = 1LL << 50;
+        constexpr long long maxMilliseconds = 1LL << 50;
         long long value = 0;
-        if (!absl::SimpleAtoi(text, &value) || value > longest || value < -longest)
+        if (!absl::SimpleAtoi(text, &value) || value > maxMilliseconds || value < -maxMilliseconds)
             return std::nullopt;
         return Duration(std::chrono::milliseconds(value));
     }
@@ -203,9 +203,9 @@
         exchange.allowedRegions
             = allowedRegions(exchange.config(), *exchange.customer, *exchange.service);
         const auto &allowed = exchange.allowedRegions;
-        const bool here
+        const bool localAllowed
             = std::find(allowed.begin(), allowed.end(), m_state.settings.region) != allowed.end();
-        if (allowed.empty() || (exchange.fromPeer && !here))
+        if (allowed.empty() || (exchange.fromPeer && !localAllowed))
             return Refusal{ResultCode::residencyForbids, "", {}};
         return std::nullopt;
     }
@@ -305,13 +305,13 @@
         exchange.bookingKeyText = callerKey != nullptr ? callerKey->text : *text;
         exchange.bodyHash = hash128Hex(exchange.service->name, exchange.request.query,
                                        exchange.request.body.text());
-        exchange.sendRightAcquired = isCleared(exchange);
+        exchange.sendRightAcquired = isSendRightAcquired(exchange);
         return std::nullopt;
     }
 
 private:
     // Only the instance that took the right to send may pass it on, and only by the peers' port.
-    static bool isCleared(const Exchange &exchange)
+    static bool isSendRightAcquired(const Exchange &exchange)
     {
         const auto by = exchange.request.headers.get("X-Ibisnotch-Cleared-By");
         return exchange.fromPeer && by && !exchange.path.empty()
@@ -334,7 +334,7 @@
 
 // A key, or a customer that a peer names, may be newer than what this instance has read; refused
 // for good, its caller would not come back with it.
-Refusal unknownCustomer(EntryState &state, const Exchange &exchange)
+Refusal unknownCustomerRefusal(EntryState &state, const Exchange &exchange)
 {
     const bool mayBeOld = state.clock.now() > state.configSureUntil.load();
     if (exchange.fromPeer || mayBeOld)
@@ -342,9 +342,9 @@
     return {ResultCode::unknownCustomer, "unknown key", {}};
 }
 
-std::unique_ptr<Filter> makePathFilter(EntryState &state)
+std::unique_ptr<Filter> makeForwardPathFilter(EntryState &state)
 {
-    return std::make_unique<PathFilter>(state);
+    return std::make_unique<ForwardPathFilter>(state);
 }
 
 std::unique_ptr<Filter> makeResidencyFilter(EntryState &state)
@@ -362,10 +362,10 @@
     return std::make_unique<UsageFilter>(state);
 }
 
-std::vector<std::unique_ptr<Filter>> makeFilters(EntryState &state)
+std::vector<std::unique_ptr<Filter>> makeChatFilters(EntryState &state)
 {
     std::vector<std::unique_ptr<Filter>> filters;
-    filters.push_back(std::make_unique<PathFilter>(state));
+    filters.push_back(std::make_unique<ForwardPathFilter>(state));
     filters.push_back(std::make_unique<CustomerFilter>(state));
     filters.push_back(std::make_unique<ServiceFilter>());
     filters.push_back(std::make_unique<DeadlineFilter>(state));
--- a/src/entry/filters.h
+++ b/src/entry/filters.h
@@ -28,20 +28,20 @@
 std::string bearerToken(const Headers &headers);
 
 // What a request is told whose customer is not in the configuration that is in force here.
-Refusal unknownCustomer(EntryState &state, const Exchange &exchange);
+Refusal unknownCustomerRefusal(EntryState &state, const Exchange &exchange);
 
 // Checks that hold for every interface, made for other chains than the one below.
-std::unique_ptr<Filter> makePathFilter(EntryState &state);
+std::unique_ptr<Filter> makeForwardPathFilter(EntryState &state);
 // Service by host and path, with pool, customer, fingerprint and what the prompt shares.
-std::unique_ptr<Filter> makeRuleFilter(EntryState &state);
+std::unique_ptr<Filter> makePathRuleFilter(EntryState &state);
 // Deadline from the caller's wait and the service's time limit.
-std::unique_ptr<Filter> makeWaitFilter();
+std::unique_ptr<Filter> makeTimeoutFilter();
 std::unique_ptr<Filter> makeResidencyFilter(EntryState &state);
 std::unique_ptr<Filter> makeQuarantineFilter(EntryState &state);
 // The customer's usage cap, at the first instance only. Last, as it counts what passes.
 std::unique_ptr<Filter> makeUsageFilter(EntryState &state);
 
 // Path, customer, service and body, deadline, residency, quarantine, booking key.
-std::vector<std::unique_ptr<Filter>> makeFilters(EntryState &state);
+std::vector<std::unique_ptr<Filter>> makeChatFilters(EntryState &state);
 
 } // namespace ibisnotch
--- a/src/entry/gateway.cc
+++ b/src/entry/gateway.cc
@@ -9,9 +9,9 @@
 
 namespace {
 
-constexpr std::size_t longestRequestId = 64;
+constexpr std::size_t maxRequestIdLength = 64;
 // Another instance serves the caller as soon as it asks there.
-constexpr Duration comeBackElsewhere = std::chrono::milliseconds(50);
+constexpr Duration retryOtherInstanceAfter = std::chrono::milliseconds(50);
 
 } // namespace
 
@@ -39,10 +39,10 @@
 std::string Gateway::requestId(const HttpRequest &request)
 {
     const std::string given = m_services.protocol.requestId(request, m_forPeers);
-    return given.empty() || given.size() > longestRequestId ? newRequestId(m_state) : given;
+    return given.empty() || given.size() > maxRequestIdLength ? newRequestId(m_state) : given;
 }
 
-std::string Gateway::otherInstances()
+std::string Gateway::otherInstanceAddresses()
 {
     std::vector<Member> members = *m_state.members.read();
     std::erase_if(members,
@@ -62,13 +62,13 @@
     m_state.traces.add(exchange.trace);
     HttpResponse response
         = m_services.protocol.makeRefusal(exchange, refusal, m_state.settings.name);
-    const bool elsewhere
+    const bool shouldUseOtherInstance
         = refusal.code == ResultCode::stopping || refusal.code == ResultCode::notReady;
-    if (elsewhere)
-        response.headers.add("X-Entry-Instances", otherInstances());
+    if (shouldUseOtherInstance)
+        response.headers.add("X-Entry-Instances", otherInstanceAddresses());
     exchange.responder->reply(std::move(response));
     if (exchange.customer != nullptr && exchange.service != nullptr)
-        countRefused(exchange, refusal.code);
+        recordRefusal(exchange, refusal.code);
     const auto version = exchange.table && exchange.table->config ? exchange.config().version : 0;
     logLine(LogPart::request, LogLevel::info, "Request refused.",
             {{"request", exchange.id},
@@ -80,7 +80,7 @@
     --m_state.inFlight;
 }
 
-void Gateway::countRefused(const Exchange &exchange, ResultCode code)
+void Gateway::recordRefusal(const Exchange &exchange, ResultCode code)
 {
     RequestRecord record;
     record.service = exchange.service->name;
@@ -105,7 +105,7 @@
     if (!exchange->table || !exchange->table->config)
         return refuse(*exchange, {ResultCode::notReady, "", jitteredRetryAfter(1, m_state.random)});
     if (m_state.stopping && m_state.clock.now() >= m_state.servesUntil.load())
-        return refuse(*exchange, {ResultCode::stopping, "", comeBackElsewhere});
+        return refuse(*exchange, {ResultCode::stopping, "", retryOtherInstanceAfter});
     for (const auto &filter : m_filters) {
         if (const auto refusal = filter->apply(*exchange))
             return refuse(*exchange, *refusal);
--- a/src/entry/gateway.h
+++ b/src/entry/gateway.h
@@ -33,8 +33,8 @@
 private:
     void serve(HttpRequest request, std::shared_ptr<Responder> responder);
     std::string requestId(const HttpRequest &request);
-    std::string otherInstances();
-    void countRefused(const Exchange &exchange, ResultCode code);
+    std::string otherInstanceAddresses();
+    void recordRefusal(const Exchange &exchange, ResultCode code);
     void refuse(Exchange &exchange, const Refusal &refusal);
 
     EntryState &m_state;
--- a/src/entry/rule-filters.cc
+++ b/src/entry/path-rule-filters.cc
@@ -10,12 +10,12 @@
 
 // Tokens; a model engine reads them in about 25 ms, less than what it costs to crowd the requests
 // that share them on one server.
-constexpr std::int64_t leastShared = 1000;
+constexpr std::int64_t minSharedTokens = 1000;
 
-class RuleFilter final : public Filter
+class PathRuleFilter final : public Filter
 {
 public:
-    explicit RuleFilter(EntryState &state) : m_state(state) { }
+    explicit PathRuleFilter(EntryState &state) : m_state(state) { }
 
     std::optional<Refusal> apply(Exchange &exchange) override
     {
@@ -27,7 +27,7 @@
         exchange.trace.service = exchange.service->name;
         exchange.customer = customerOf(exchange);
         if (exchange.customer == nullptr)
-            return unknownCustomer(m_state, exchange);
+            return unknownCustomerRefusal(m_state, exchange);
         exchange.priority = requestPriority(*exchange.customer, *exchange.service);
         exchange.trace.customer = exchange.customer->name;
         if (request.body.size() > static_cast<std::size_t>(config.limits.maxBodyBytes))
@@ -36,7 +36,7 @@
         exchange.streaming = exchange.service->isStreaming;
         if (exchange.prompt.tokens > 0)
             exchange.urgency = urgencyOf(exchange);
-        exchange.prefixHash = sharedPrefix(exchange.prompt);
+        exchange.prefixHash = hashSharedParts(exchange.prompt);
         exchange.fingerprint
             = hash128Hex(exchange.host + request.path, request.query, request.body.text());
         return std::nullopt;
@@ -77,9 +77,9 @@
     }
 
     // Of all parts but the last, which is the request's own; 0 if it shares too little.
-    static std::uint64_t sharedPrefix(const Prompt &prompt)
+    static std::uint64_t hashSharedParts(const Prompt &prompt)
     {
-        if (prompt.sharedTokens() < leastShared)
+        if (prompt.sharedTokens() < minSharedTokens)
             return 0;
         std::uint64_t hash = 0;
         for (std::size_t i = 0; i + 1 < prompt.parts.size(); ++i)
@@ -90,31 +90,31 @@
     EntryState &m_state;
 };
 
-class WaitFilter final : public Filter
+class TimeoutFilter final : public Filter
 {
 public:
     std::optional<Refusal> apply(Exchange &exchange) override
     {
-        Duration wait = exchange.service->deadline;
+        Duration timeout = exchange.service->deadline;
         if (exchange.callerTimeout)
-            wait = std::min(wait, *exchange.callerTimeout);
-        if (wait.count() <= 0)
+            timeout = std::min(timeout, *exchange.callerTimeout);
+        if (timeout.count() <= 0)
             return Refusal{ResultCode::deadlinePassed, "", {}};
-        exchange.deadline = exchange.arrived + wait;
+        exchange.deadline = exchange.arrived + timeout;
         return std::nullopt;
     }
 };
 
 } // namespace
 
-std::unique_ptr<Filter> makeRuleFilter(EntryState &state)
+std::unique_ptr<Filter> makePathRuleFilter(EntryState &state)
 {
-    return std::make_unique<RuleFilter>(state);
+    return std::make_unique<PathRuleFilter>(state);
 }
 
-std::unique_ptr<Filter> makeWaitFilter()
+std::unique_ptr<Filter> makeTimeoutFilter()
 {
-    return std::make_unique<WaitFilter>();
+    return std::make_unique<TimeoutFilter>();
 }
 
 } // namespace ibisnotch
