--- a/src/entry/attempt.cc
+++ b/src/entry/attempt.cc
@@ -7,21 +7,21 @@
 
 namespace {
 
-constexpr std::size_t largestKept = 1U << 20;
-constexpr std::size_t largestPending = 1U << 20;
+constexpr std::size_t maxBufferedBody = 1U << 20;
+constexpr std::size_t maxPendingToCaller = 1U << 20;
 
 } // namespace
 
 Dispatch::Attempt::Attempt(std::shared_ptr<Dispatch> dispatch, Target target,
                            std::unique_ptr<ResponseReader> reader)
     : m_dispatch(std::move(dispatch)), m_target(std::move(target)), m_reader(std::move(reader)),
-      m_heard(m_dispatch->m_state.clock.now())
+      m_lastReceivedAt(m_dispatch->m_state.clock.now())
 {
 }
 
-bool Dispatch::Attempt::stop(AttemptOutcome end)
+bool Dispatch::Attempt::stopWith(AttemptOutcome end)
 {
-    m_stoppedAs = end;
+    m_stoppedWith = end;
     return false;
 }
 
@@ -30,62 +30,63 @@
     m_answer.status = status;
     m_answer.headers = headers;
     const auto end = m_reader->onHead(status, headers);
-    m_heard = m_dispatch->m_state.clock.now();
-    m_dispatch->onServerWord(m_target, *m_reader);
-    return end ? stop(*end) : true;
+    m_lastReceivedAt = m_dispatch->m_state.clock.now();
+    m_dispatch->onServerResponse(m_target, *m_reader);
+    return end ? stopWith(*end) : true;
 }
 
 bool Dispatch::Attempt::onData(std::string_view data)
 {
     std::string passed;
-    m_heard = m_dispatch->m_state.clock.now();
+    m_lastReceivedAt = m_dispatch->m_state.clock.now();
     if (m_target.counters)
-        recordReceived(*m_target.counters, m_heard);
+        recordReceived(*m_target.counters, m_lastReceivedAt);
     const auto end = m_reader->onData(data, passed);
-    notePace();
-    if (!end && !passed.empty() && !m_reader->isStreaming() && !m_tooLong) {
+    recordEventInterval();
+    if (!end && !passed.empty() && !m_reader->isStreaming() && !m_exceedsBuffer) {
         m_answer.body += passed;
-        if (m_answer.body.size() <= largestKept)
+        if (m_answer.body.size() <= maxBufferedBody)
             return true;
         // From here on a failure shows as a connection that ends early.
-        m_tooLong = true;
+        m_exceedsBuffer = true;
         passed = std::move(m_answer.body);
         m_answer.body.clear();
     }
     if (!passed.empty())
-        m_dispatch->passOn(m_answer, std::move(passed));
+        m_dispatch->writeToCaller(m_answer, std::move(passed));
     if (end)
-        return stop(*end);
+        return stopWith(*end);
     return !m_dispatch->m_exchange->responder->closed();
 }
 
 // The first event comes after the prompt is read and says nothing of the pace.
-void Dispatch::Attempt::notePace()
+void Dispatch::Attempt::recordEventInterval()
 {
-    const int events = m_reader->eventCount() - m_eventsNoted;
+    const int events = m_reader->eventCount() - m_eventsRecorded;
     if (events <= 0 || !m_target.counters)
         return;
-    if (m_eventsNoted > 0)
-        recordEvents(*m_target.counters, events, m_heard - m_eventAt, m_heard);
-    m_eventsNoted += events;
-    m_eventAt = m_heard;
+    if (m_eventsRecorded > 0)
+        recordEvents(*m_target.counters, events, m_lastReceivedAt - m_lastEventAt,
+                     m_lastReceivedAt);
+    m_eventsRecorded += events;
+    m_lastEventAt = m_lastReceivedAt;
 }
 
 bool Dispatch::Attempt::waitsOn()
 {
-    return m_dispatch->waitsOn(m_target, *m_reader, m_heard);
+    return m_dispatch->shouldKeepWaiting(m_target, *m_reader, m_lastReceivedAt);
 }
 
 bool Dispatch::Attempt::congested() const
 {
-    return m_dispatch->m_streamed
-        && m_dispatch->m_exchange->responder->pendingBytes() > largestPending;
+    return m_dispatch->m_streamStarted
+        && m_dispatch->m_exchange->responder->pendingBytes() > maxPendingToCaller;
 }
 
-AttemptOutcome Dispatch::Attempt::endOf(const TransferResult &result) const
+AttemptOutcome Dispatch::Attempt::attemptEndOf(const TransferResult &result) const
 {
-    if (m_stoppedAs)
-        return *m_stoppedAs;
+    if (m_stoppedWith)
+        return *m_stoppedWith;
     if (m_dispatch->m_exchange->responder->closed() && result.end != TransferEnd::complete)
         return AttemptOutcome::callerLeft;
     switch (result.end) {
@@ -105,7 +106,7 @@
 void Dispatch::Attempt::onEnd(const TransferResult &result)
 {
     // The dispatch is kept by this object, and this object by the client until it returns.
-    m_dispatch->onAttemptEnd(m_target, endOf(result), *this);
+    m_dispatch->onAttemptEnd(m_target, attemptEndOf(result), *this);
 }
 
 } // namespace ibisnotch
--- a/src/entry/attempt.h
+++ b/src/entry/attempt.h
@@ -26,19 +26,19 @@
     const ResponseReader &reader() const { return *m_reader; }
 
 private:
-    void notePace();
-    bool stop(AttemptOutcome end);
-    AttemptOutcome endOf(const TransferResult &result) const;
+    void recordEventInterval();
+    bool stopWith(AttemptOutcome end);
+    AttemptOutcome attemptEndOf(const TransferResult &result) const;
 
     std::shared_ptr<Dispatch> m_dispatch;
     Target m_target;
     std::unique_ptr<ResponseReader> m_reader;
     HttpResponse m_answer; // kept until it is whole
-    bool m_tooLong = false; // to be kept whole
-    std::optional<AttemptOutcome> m_stoppedAs;
-    TimePoint m_heard; // the last byte, or the start
-    int m_eventsNoted = 0;
-    TimePoint m_eventAt{}; // of the last event
+    bool m_exceedsBuffer = false; // to be kept whole
+    std::optional<AttemptOutcome> m_stoppedWith;
+    TimePoint m_lastReceivedAt; // the last byte, or the start
+    int m_eventsRecorded = 0;
+    TimePoint m_lastEventAt{}; // of the last event
 };
 
 } // namespace ibisnotch
--- a/src/entry/dispatch-booking.cc
+++ b/src/entry/dispatch-booking.cc
@@ -9,11 +9,11 @@
 
 namespace {
 
-constexpr Duration claimTime = std::chrono::seconds(3);
+constexpr Duration claimTimeout = std::chrono::seconds(3);
 
 } // namespace
 
-void Dispatch::takeRight()
+void Dispatch::acquireSendRight()
 {
     if (const auto *issued = std::get_if<IssuedKey>(&*m_exchange->bookingKey))
         return useIssuedKey(*issued);
@@ -32,7 +32,7 @@
     }
     switch (decision.use) {
     case IssuedKeyUse::send:
-        m_right = Right::issuedKey;
+        m_sendRight = SendRight::issuedKey;
         trace("issued key, first use");
         return route();
     case IssuedKeyUse::repeat: {
@@ -73,7 +73,7 @@
     if (std::find(allowed.begin(), allowed.end(), found->region) == allowed.end())
         return refuse({ResultCode::residencyForbids, "the key's issuer", {}});
     trace("handed to the issuer of its key, " + found->name);
-    m_toIssuer = true;
+    m_forwardedToIssuer = true;
     send(peerTarget(*found));
 }
 
@@ -85,7 +85,7 @@
     ClaimService::PageClaim pageClaim;
     pageClaim.page = m_claimPage;
     pageClaim.request = {m_claimAttempt, m_claimId, m_exchange->bodyHash,
-                         m_state.clock.now() + std::min(claimTime, remaining())};
+                         m_state.clock.now() + std::min(claimTimeout, remaining())};
     m_claimService->claim(std::move(pageClaim),
                           [self = shared_from_this()](const ClaimResult &result) {
                               self->m_client.post([self, result] { self->onClaim(result); });
@@ -110,7 +110,7 @@
     case ClaimOutcome::storeUnreachable:
         return refuse({ResultCode::storeUnreachable, "", jitteredRetryAfter(5, m_state.random)});
     }
-    m_right = Right::claim;
+    m_sendRight = SendRight::claim;
     trace("claim granted");
     // This process may have been paused since it checked the key's age. Once the claim is held, a
     // second look suffices: the page of a key whose time is over may be dropped, but no instance
@@ -126,34 +126,34 @@
 
 void Dispatch::settleDone(int status, const std::string &answer)
 {
-    if (m_right == Right::claim)
+    if (m_sendRight == SendRight::claim)
         m_claimService->settle(m_claimPage, m_claimAttempt, m_claimId, ClaimState::done, status);
-    if (m_right == Right::issuedKey) {
+    if (m_sendRight == SendRight::issuedKey) {
         const std::lock_guard lock(m_state.keysMutex);
         m_state.issuedKeys.finishDone(m_exchange->bookingKeyText, status, answer);
     }
-    m_right = Right::notNeeded;
+    m_sendRight = SendRight::notNeeded;
 }
 
 void Dispatch::settleNotRun()
 {
-    if (m_right == Right::claim)
+    if (m_sendRight == SendRight::claim)
         m_claimService->settle(m_claimPage, m_claimAttempt, m_claimId, ClaimState::notRun, 0);
-    if (m_right == Right::issuedKey) {
+    if (m_sendRight == SendRight::issuedKey) {
         const std::lock_guard lock(m_state.keysMutex);
         m_state.issuedKeys.finishNotRun(m_exchange->bookingKeyText);
     }
-    m_right = Right::notNeeded;
+    m_sendRight = SendRight::notNeeded;
 }
 
 void Dispatch::settleUnknown()
 {
     // A claim without an outcome already means "unknown" to everyone who reads it.
-    if (m_right == Right::issuedKey) {
+    if (m_sendRight == SendRight::issuedKey) {
         const std::lock_guard lock(m_state.keysMutex);
         m_state.issuedKeys.finishUnknown(m_exchange->bookingKeyText);
     }
-    m_right = Right::notNeeded;
+    m_sendRight = SendRight::notNeeded;
 }
 
 } // namespace ibisnotch
--- a/src/entry/dispatch-end.cc
+++ b/src/entry/dispatch-end.cc
@@ -11,7 +11,7 @@
 void Dispatch::deliver(Attempt &attempt)
 {
     std::vector<CrashMark> cleared;
-    if (m_trial) {
+    if (m_isQuarantineTrial) {
         const std::lock_guard lock(m_state.quarantineMutex);
         cleared = m_state.quarantine.onAnswered(m_exchange->fingerprint);
     }
@@ -30,7 +30,7 @@
         settleNotRun();
     else
         settleUnknown();
-    if (m_streamed) {
+    if (m_streamStarted) {
         m_exchange->responder->finish();
         return finish(code);
     }
@@ -39,7 +39,7 @@
 
 void Dispatch::reply(HttpResponse answer, ResultCode code)
 {
-    m_firstByte = m_state.clock.now();
+    m_firstByteAt = m_state.clock.now();
     answer.headers = m_protocol.makeResponseHeaders(*m_exchange, code, answer.headers,
                                                     servedBy(answer.headers));
     m_exchange->responder->reply(std::move(answer));
@@ -47,7 +47,7 @@
 }
 
 // The caller has part of an answer. It must see that the rest is missing.
-void Dispatch::breakOff(AttemptOutcome end)
+void Dispatch::abortStream(AttemptOutcome end)
 {
     const bool late = remaining().count() <= 0;
     const ResultCode code = finalResultCode(end, m_exchange->service->idempotent, late);
@@ -57,7 +57,7 @@
     finish(code);
 }
 
-void Dispatch::giveUp(AttemptOutcome end)
+void Dispatch::failRequest(AttemptOutcome end)
 {
     const bool late = remaining().count() <= 0;
     if (end == AttemptOutcome::callerLeft) {
@@ -65,7 +65,7 @@
         return finish(ResultCode::callerLeft);
     }
     // The issuer may have run this key before and is not there to say so.
-    if (m_toIssuer && certainlyNotRun(end))
+    if (m_forwardedToIssuer && certainlyNotRun(end))
         return refuse({ResultCode::issuerGone, "", {}});
     if (certainlyNotRun(end))
         settleNotRun();
@@ -85,7 +85,7 @@
         refusal.code = m_exchange->service->idempotent ? ResultCode::backendFailed
                                                        : ResultCode::outcomeUnknown;
     // The head of a stream is out, so no other answer can follow on this connection.
-    if (m_streamed) {
+    if (m_streamStarted) {
         trace("stream cut: " + std::string(resultInfo(refusal.code).name));
         m_exchange->responder->abort();
         settleUnknown();
@@ -94,9 +94,9 @@
                           : refusal.code);
     }
     // A server's own failure tells the caller more than that there is no better answer.
-    if (m_failure) {
+    if (m_serverError) {
         settleUnknown();
-        return reply(*std::exchange(m_failure, std::nullopt), ResultCode::backendFailed);
+        return reply(*std::exchange(m_serverError, std::nullopt), ResultCode::backendFailed);
     }
     trace("refused: " + std::string(resultInfo(refusal.code).name));
     m_exchange->responder->reply(m_protocol.makeRefusal(*m_exchange, refusal, servedBy({})));
@@ -119,9 +119,9 @@
     record.customer = exchange.customer->name;
     record.code = code;
     record.total = now - exchange.arrived;
-    record.firstByte = m_firstByte.value_or(now) - exchange.arrived;
+    record.firstByte = m_firstByteAt.value_or(now) - exchange.arrived;
     record.attempts = m_attempts;
-    record.sentAway = m_sentAway;
+    record.sentAway = m_forwardedToRegion;
     record.forwarded = exchange.fromPeer;
     record.cost = m_cost;
     const bool inTime = now <= exchange.deadline;
@@ -136,7 +136,7 @@
         m_state.burn.count(record.service, record.customer, !good, m_state.clock.wallNow());
     m_exchange->trace.resultCode = static_cast<int>(code);
     m_state.traces.add(m_exchange->trace);
-    logOver(code, good);
+    logFinished(code, good);
     --m_state.inFlight;
 }
 
@@ -145,35 +145,36 @@
 // stream where the request would run, if known; "list:REVISION,age" of the list of servers, with
 // "looks" if it waited for looks at servers that may be cold. Delays, ages and paces in
 // milliseconds.
-std::string Dispatch::inputsText() const
+std::string Dispatch::routeInputsText() const
 {
     constexpr double toMs = 1000;
-    const RegionLoad &home = m_inputs.home;
-    std::string text = fmt::format("home:{:.0f}/{:.0f}+{:.0f}", home.outstanding, home.slots,
-                                   home.readDelaySeconds * toMs);
-    if (const auto &away = m_inputs.away)
-        text += fmt::format(";{}:{:.0f}/{:.0f}+{:.0f},age:{}", away->region, away->outstanding,
-                            away->slots, away->readDelaySeconds * toMs, away->ageMs);
-    const double seen
-        = m_inputs.away ? m_inputs.away->eventIntervalSeconds : home.eventIntervalSeconds;
-    if (seen > 0 && m_inputs.maxEventIntervalSeconds > 0)
+    const RegionLoad &local = m_routeInputs.localLoad;
+    std::string text = fmt::format("home:{:.0f}/{:.0f}+{:.0f}", local.outstanding, local.slots,
+                                   local.readDelaySeconds * toMs);
+    if (const auto &remote = m_routeInputs.remoteLoad)
+        text += fmt::format(";{}:{:.0f}/{:.0f}+{:.0f},age:{}", remote->region, remote->outstanding,
+                            remote->slots, remote->readDelaySeconds * toMs, remote->ageMs);
+    const double seen = m_routeInputs.remoteLoad ? m_routeInputs.remoteLoad->eventIntervalSeconds
+                                                 : local.eventIntervalSeconds;
+    if (seen > 0 && m_routeInputs.maxEventIntervalSeconds > 0)
         text += fmt::format(";pace:{:.0f}/{:.0f}", seen * toMs,
-                            m_inputs.maxEventIntervalSeconds * toMs);
-    if (m_inputs.serverSlots > 0)
-        text += fmt::format(";server:{:.0f}/{:.0f}+{:.0f},age:{}", m_inputs.serverLoad,
-                            m_inputs.serverSlots, m_inputs.serverDelay * toMs,
-                            m_inputs.reportAge ? millisecondsText(*m_inputs.reportAge) : "never");
-    if (m_inputs.remainingColdTime)
-        text += ",cold:" + millisecondsText(*m_inputs.remainingColdTime);
-    if (m_inputs.listAge)
-        text += fmt::format(";list:{},age:{}", m_inputs.listRevision,
-                            millisecondsText(*m_inputs.listAge));
-    if (m_waits > 0)
-        text += fmt::format(",looks:{}", m_waits);
+                            m_routeInputs.maxEventIntervalSeconds * toMs);
+    if (m_routeInputs.serverSlots > 0)
+        text += fmt::format(";server:{:.0f}/{:.0f}+{:.0f},age:{}", m_routeInputs.serverLoad,
+                            m_routeInputs.serverSlots, m_routeInputs.serverDelay * toMs,
+                            m_routeInputs.reportAge ? millisecondsText(*m_routeInputs.reportAge)
+                                                    : "never");
+    if (m_routeInputs.remainingColdTime)
+        text += ",cold:" + millisecondsText(*m_routeInputs.remainingColdTime);
+    if (m_routeInputs.listAge)
+        text += fmt::format(";list:{},age:{}", m_routeInputs.listRevision,
+                            millisecondsText(*m_routeInputs.listAge));
+    if (m_statusCheckWaits > 0)
+        text += fmt::format(",looks:{}", m_statusCheckWaits);
     return text;
 }
 
-void Dispatch::logOver(ResultCode code, bool good) const
+void Dispatch::logFinished(ResultCode code, bool good) const
 {
     const Exchange &exchange = *m_exchange;
     const TimePoint now = m_state.clock.now();
@@ -185,7 +186,7 @@
          {"code", std::to_string(static_cast<int>(code))},
          {"attempts", std::to_string(m_attempts)},
          {"server", m_servedBy},
-         {"firstMs", m_firstByte ? millisecondsText(*m_firstByte - exchange.arrived) : "none"},
+         {"firstMs", m_firstByteAt ? millisecondsText(*m_firstByteAt - exchange.arrived) : "none"},
          {"ms", millisecondsText(now - exchange.arrived)},
          {"leftMs", millisecondsText(remaining())},
          {"configVersion", std::to_string(exchange.config().version)},
@@ -194,7 +195,7 @@
                          : "none"},
          {"tokens",
           fmt::format("{}/{}", m_exchange->prompt.tokens, m_exchange->prompt.sharedTokens())},
-         {"by", inputsText()}});
+         {"by", routeInputsText()}});
 }
 
 } // namespace ibisnotch
--- a/src/entry/dispatch-plan.cc
+++ b/src/entry/dispatch-plan.cc
@@ -12,24 +12,26 @@
 
 namespace {
 
-constexpr double noServerPause = 2;
+constexpr double noServerRetrySeconds = 2;
 // For a look at a server that may be cold, which takes a tick of the control loop and the way.
-constexpr Duration waitTime = std::chrono::milliseconds(30);
-constexpr int mostWaits = 16;
+constexpr Duration statusCheckWait = std::chrono::milliseconds(30);
+constexpr int maxStatusCheckWaits = 16;
 // Two rounds of probes; a member that joins is told the others in its first.
-constexpr Duration membersKnownAfter = std::chrono::seconds(2);
+constexpr Duration membershipSettleTime = std::chrono::seconds(2);
 
 } // namespace
 
 std::vector<Candidate> Dispatch::candidatesIn(const RoutingTable &table) const
 {
-    auto candidates = candidatesForService(table, *m_exchange->service, m_tried, m_exchange->pool);
+    auto candidates
+        = candidatesForService(table, *m_exchange->service, m_triedTargets, m_exchange->pool);
     // A pool may have one server in the region. One that answers, if with a failure, is better than
     // the way to another region.
-    if (candidates.empty() && m_failure)
+    if (candidates.empty() && m_serverError)
         candidates = candidatesForService(table, *m_exchange->service, {}, m_exchange->pool);
-    std::erase_if(candidates,
-                  [&](const Candidate &candidate) { return !mayWarmNow(table, *candidate.view); });
+    std::erase_if(candidates, [&](const Candidate &candidate) {
+        return !maySendWhileCold(table, *candidate.view);
+    });
     // A request that may run once only is lost if the server on trial is still out of order.
     const bool othersUsable
         = std::any_of(candidates.begin(), candidates.end(), [](const Candidate &one) {
@@ -54,7 +56,7 @@
 }
 
 // Whether a server that is cold may get a request from this instance now.
-bool Dispatch::mayWarmNow(const RoutingTable &table, const ServerView &view) const
+bool Dispatch::maySendWhileCold(const RoutingTable &table, const ServerView &view) const
 {
     const TimePoint now = m_state.clock.now();
     if (now >= view.coldUntil)
@@ -62,14 +64,14 @@
     if (now < view.cooldownUntil)
         return false;
     // An instance that has just started does not yet know with whom it shares.
-    if (now < m_state.startedAt + membersKnownAfter)
+    if (now < m_state.startedAt + membershipSettleTime)
         return false;
-    const auto pause = warmingPause(table, view);
+    const auto pause = warmupIntervalOf(table, view);
     return pause && canSendWarmupRequest(*view.counters, *pause, view.coldSince, now);
 }
 
-std::optional<Duration> Dispatch::warmingPause(const RoutingTable &table,
-                                               const ServerView &view) const
+std::optional<Duration> Dispatch::warmupIntervalOf(const RoutingTable &table,
+                                                   const ServerView &view) const
 {
     const auto pool = table.config->pools.find(view.server.pool);
     if (pool == table.config->pools.end())
@@ -78,12 +80,13 @@
                           m_state.settings.name, view.server.name);
 }
 
-PossiblyColdServer Dispatch::unsureServer(const RoutingTable &table, const ServerView &view) const
+PossiblyColdServer Dispatch::possiblyColdServer(const RoutingTable &table,
+                                                const ServerView &view) const
 {
     const ServerCounters &counters = *view.counters;
     const TimePoint lastSentAt{Duration(counters.lastSentAt.load())};
     const auto since = possiblyColdSince(table.list, view, m_state.clock.now());
-    const auto share = since ? unsureShare(table, view) : std::nullopt;
+    const auto share = since ? possiblyColdShareOf(table, view) : std::nullopt;
     if (!share)
         return {lastSentAt, true, true};
     return {lastSentAt, *share > 0, canSendPossiblyCold(counters, *share, *since)};
@@ -91,11 +94,12 @@
 
 // While nobody tells whether a server is cold, a burst could reach one that turned cold a moment
 // ago.
-bool Dispatch::keepReady(const RoutingTable &table, std::vector<Candidate> &candidates) const
+bool Dispatch::keepReadyCandidates(const RoutingTable &table,
+                                   std::vector<Candidate> &candidates) const
 {
     std::vector<PossiblyColdServer> servers;
     for (const Candidate &candidate : candidates)
-        servers.push_back(unsureServer(table, *candidate.view));
+        servers.push_back(possiblyColdServer(table, *candidate.view));
     const PossiblyColdChoice answer = choosePossiblyCold(servers);
     std::vector<Candidate> ready;
     for (const std::size_t index : answer.ready)
@@ -104,25 +108,25 @@
     return !answer.wait;
 }
 
-std::optional<std::size_t> Dispatch::unsureShare(const RoutingTable &table,
-                                                 const ServerView &view) const
+std::optional<std::size_t> Dispatch::possiblyColdShareOf(const RoutingTable &table,
+                                                         const ServerView &view) const
 {
     return possiblyColdShare(table, m_state.settings.warmup, m_state.settings.name, view.server);
 }
 
 // Takes the right to send to a server that is cold or may be. False if another thread took it in
 // between.
-bool Dispatch::takeSendingRight(const RoutingTable &table, const ServerView &view) const
+bool Dispatch::tryAcquireColdSend(const RoutingTable &table, const ServerView &view) const
 {
     const TimePoint now = m_state.clock.now();
     if (now < view.coldUntil) {
-        const auto pause = warmingPause(table, view);
+        const auto pause = warmupIntervalOf(table, view);
         return pause && tryAcquireWarmupRequest(*view.counters, *pause, view.coldSince, now);
     }
     const auto since = possiblyColdSince(table.list, view, now);
     if (!since)
         return true;
-    const auto share = unsureShare(table, view);
+    const auto share = possiblyColdShareOf(table, view);
     return !share || *share == 0 || tryAcquirePossiblyCold(*view.counters, *share, *since);
 }
 
@@ -139,7 +143,8 @@
     input.localRegion = m_state.settings.region;
     input.allowed = m_exchange->allowedRegions;
     for (const Member &member : *members) {
-        const bool usable = member.state == MemberState::alive && m_tried.count(member.name) == 0
+        const bool usable = member.state == MemberState::alive
+            && m_triedTargets.count(member.name) == 0
             && canForwardTo(m_exchange->path, m_state.hop(), {member.name, member.region});
         if (usable)
             input.reachable.push_back(member.region);
@@ -151,7 +156,7 @@
     input.oneWayDelay = config.regionOneWay;
     input.awayMargin = config.limits.awayMargin;
     input.canForward
-        = !m_stayHome && (!m_exchange->fromPeer || regionChanges(m_exchange->path) == 0);
+        = !m_stayInRegion && (!m_exchange->fromPeer || regionChanges(m_exchange->path) == 0);
     if (m_exchange->prefixHash != 0 && !m_exchange->pool.empty())
         input.holderRegion = affinityRegion(*table, candidates, input.localRegion, m_exchange->pool,
                                             input.allowed, m_exchange->prefixHash);
@@ -170,34 +175,35 @@
         return Refusal{ResultCode::residencyForbids, "", {}};
     if (!answer.region)
         return Refusal{ResultCode::noBackendServer, "",
-                       jitteredRetryAfter(noServerPause, m_state.random)};
-    const bool away = *answer.region != input.localRegion;
-    m_inputs = {};
-    m_inputs.home = input.localLoad;
-    m_inputs.listRevision = table->list.revision;
+                       jitteredRetryAfter(noServerRetrySeconds, m_state.random)};
+    const bool isRemote = *answer.region != input.localRegion;
+    m_routeInputs = {};
+    m_routeInputs.localLoad = input.localLoad;
+    m_routeInputs.listRevision = table->list.revision;
     if (table->list.confirmedAt != TimePoint{})
-        m_inputs.listAge = now - table->list.confirmedAt;
+        m_routeInputs.listAge = now - table->list.confirmedAt;
     if (m_exchange->prompt.tokens > 0)
-        m_inputs.maxEventIntervalSeconds
+        m_routeInputs.maxEventIntervalSeconds
             = m_state.habits.maxEventIntervalSeconds(loadName(*m_exchange), now);
-    if (away)
-        m_inputs.away = m_state.regions.find(*answer.region, loadName(*m_exchange), now);
+    if (isRemote)
+        m_routeInputs.remoteLoad = m_state.regions.find(*answer.region, loadName(*m_exchange), now);
     if (admit && !m_admitted) {
-        const RegionLoad load = away ? m_inputs.away.value_or(RegionLoad{}) : input.localLoad;
+        const RegionLoad load
+            = isRemote ? m_routeInputs.remoteLoad.value_or(RegionLoad{}) : input.localLoad;
         const AdmissionDecision admission
-            = m_state.admission.decide(admissionQuestion(load, away), m_state.random);
+            = m_state.admission.decide(admissionQuestion(load, isRemote), m_state.random);
         if (admission.code != ResultCode::served)
             return Refusal{admission.code, "", admission.retryAfter};
         m_admitted = true;
         m_state.admission.onAdmitted(m_exchange->customer->name, service.name,
                                      m_exchange->customer->share);
     }
-    if (away)
-        return planAway(*answer.region);
+    if (isRemote)
+        return planRemote(*answer.region);
     return pickServer(*table);
 }
 
-AdmissionInput Dispatch::admissionQuestion(const RegionLoad &load, bool away) const
+AdmissionInput Dispatch::admissionQuestion(const RegionLoad &load, bool isRemote) const
 {
     const FleetConfig &config = m_exchange->config();
     AdmissionInput input;
@@ -210,7 +216,7 @@
     for (const auto &[name, service] : config.services)
         input.maxWorth = std::max(input.maxWorth, service.worth);
     input.lateIsUndelivered = config.weights.lateIsUndelivered;
-    input.roundTrip = away ? 2 * config.regionOneWay : Duration(0);
+    input.roundTrip = isRemote ? 2 * config.regionOneWay : Duration(0);
     input.remaining = remaining();
     input.promptReadDelaySeconds = m_exchange->prompt.tokens > 0 ? load.readDelaySeconds : 0;
     if (m_exchange->prompt.tokens > 0) {
@@ -220,21 +226,21 @@
         input.maxEventIntervalSeconds = m_state.habits.maxEventIntervalSeconds(pool, now);
         input.lessUrgentServices = m_state.habits.lessUrgentServices(pool, input.priority, now);
     }
-    input.rejectionDraw = m_draw;
+    input.rejectionDraw = m_admissionDraw;
     return input;
 }
 
-Dispatch::Plan Dispatch::planAway(const std::string &region)
+Dispatch::Plan Dispatch::planRemote(const std::string &region)
 {
     std::vector<Member> members = *m_state.members.read();
     std::erase_if(members, [&](const Member &member) {
-        return m_tried.count(member.name) > 0 || member.name == m_state.settings.name;
+        return m_triedTargets.count(member.name) > 0 || member.name == m_state.settings.name;
     });
     members = preferredPeers(std::move(members), m_state.settings.name, region);
     const EntryList list = makeEntryList(members, region, {region}, m_state.random);
     if (list.instances.empty())
         return Refusal{ResultCode::noBackendServer, "",
-                       jitteredRetryAfter(noServerPause, m_state.random)};
+                       jitteredRetryAfter(noServerRetrySeconds, m_state.random)};
     const Member &member = list.instances.front();
     return peerTarget(member);
 }
@@ -253,11 +259,11 @@
 {
     const TimePoint now = m_state.clock.now();
     auto candidates = candidatesIn(table);
-    if (!keepReady(table, candidates) && m_waits < mostWaits)
-        return Wait{waitTime};
+    if (!keepReadyCandidates(table, candidates) && m_statusCheckWaits < maxStatusCheckWaits)
+        return PlanAgain{statusCheckWait};
     if (candidates.empty())
         return Refusal{ResultCode::noBackendServer, "",
-                       jitteredRetryAfter(noServerPause, m_state.random)};
+                       jitteredRetryAfter(noServerRetrySeconds, m_state.random)};
     PickInput input;
     input.candidates = candidates;
     input.prefix = m_exchange->prefixHash;
@@ -267,21 +273,21 @@
     const Candidate &chosen = candidates[m_state.picker.pick(input, m_state.random)];
     trace(fmt::format("picked {} of {}, load {:.1f} of {:.1f} slots", chosen.view->server.name,
                       candidates.size(), chosen.load, chosen.slots));
-    m_inputs.serverLoad = chosen.load;
-    m_inputs.serverSlots = chosen.slots;
-    m_inputs.serverDelay = chosen.readDelaySeconds;
-    m_inputs.tokensPerMs = chosen.tokensPerMs;
+    m_routeInputs.serverLoad = chosen.load;
+    m_routeInputs.serverSlots = chosen.slots;
+    m_routeInputs.serverDelay = chosen.readDelaySeconds;
+    m_routeInputs.tokensPerMs = chosen.tokensPerMs;
     if (chosen.view->reportedAt != TimePoint{})
-        m_inputs.reportAge = now - chosen.view->reportedAt;
+        m_routeInputs.reportAge = now - chosen.view->reportedAt;
     if (now < chosen.view->coldUntil)
-        m_inputs.remainingColdTime = chosen.view->coldUntil - now;
-    if (!takeSendingRight(table, *chosen.view))
+        m_routeInputs.remainingColdTime = chosen.view->coldUntil - now;
+    if (!tryAcquireColdSend(table, *chosen.view))
         return Refusal{ResultCode::noBackendServer, "",
-                       jitteredRetryAfter(noServerPause, m_state.random)};
-    return targetOf(*chosen.view);
+                       jitteredRetryAfter(noServerRetrySeconds, m_state.random)};
+    return serverTarget(*chosen.view);
 }
 
-Target Dispatch::targetOf(const ServerView &view) const
+Target Dispatch::serverTarget(const ServerView &view) const
 {
     Target target;
     target.name = view.server.name;
--- a/src/entry/dispatch.cc
+++ b/src/entry/dispatch.cc
@@ -15,30 +15,30 @@
 
 // How long an idempotent request waits for its first byte, in usual times of one run, and at least;
 // callers leave a stream that brings nothing after two seconds at the earliest.
-constexpr int patienceFactor = 8;
-constexpr Duration leastPatience = std::chrono::seconds(2);
+constexpr int firstByteTimeoutFactor = 8;
+constexpr Duration minFirstByteTimeout = std::chrono::seconds(2);
 // Between two pieces of an answer. Callers leave a stream that brings nothing for two seconds at
 // the earliest; whoever waits on after three waits for a server that is gone.
-constexpr Duration longestSilence = std::chrono::seconds(3);
+constexpr Duration maxStreamGap = std::chrono::seconds(3);
 // Parts of a server's slots that may be taken where a request is to go on from a server that lives.
-constexpr double mostTakenForStreams = 0.5; // that have begun; whoever turns one away cuts it
-constexpr double mostTakenForOthers = 0.9;
+constexpr double maxUtilizationForStreams = 0.5; // that have begun; whoever turns one away cuts it
+constexpr double maxUtilizationForOthers = 0.9;
 // When an attempt that brings nothing is first looked at.
-constexpr Duration firstLook = std::chrono::milliseconds(600);
+constexpr Duration progressCheckInterval = std::chrono::milliseconds(600);
 // Servers of the region accept within milliseconds, another region within 160 ms.
-constexpr Duration connectTime = std::chrono::milliseconds(500);
-constexpr Duration roomPause = std::chrono::milliseconds(150);
+constexpr Duration connectTimeout = std::chrono::milliseconds(500);
+constexpr Duration capacityRetryInterval = std::chrono::milliseconds(150);
 // A datagram to an instance of the region takes some 4 ms.
-constexpr Duration markArrival = std::chrono::milliseconds(10);
+constexpr Duration crashMarkDelay = std::chrono::milliseconds(10);
 // A server that lives has closed or accepted by then.
-constexpr Duration aliveCheckAfter = std::chrono::milliseconds(300);
+constexpr Duration serverCheckDelay = std::chrono::milliseconds(300);
 
 } // namespace
 
 Dispatch::Dispatch(DispatchServices services, ExchangePtr exchange, HttpClient &client)
     : m_state(services.state), m_control(services.control), m_protocol(services.protocol),
       m_claimService(services.claimService), m_exchange(std::move(exchange)), m_client(client),
-      m_draw(services.state.random.uniform())
+      m_admissionDraw(services.state.random.uniform())
 {
 }
 
@@ -68,10 +68,10 @@
         });
     });
     if (!exchange.isBooking() || exchange.sendRightAcquired) {
-        m_right = Right::notNeeded;
+        m_sendRight = SendRight::notNeeded;
         return route();
     }
-    takeRight();
+    acquireSendRight();
 }
 
 // ---- Attempts -----------------------------------------------------------------------------------
@@ -81,7 +81,7 @@
 void Dispatch::onCallerLeft()
 {
     m_callerLeft = true;
-    if (const auto attempt = m_current.lock())
+    if (const auto attempt = m_currentAttempt.lock())
         m_client.cancel(attempt.get());
 }
 
@@ -93,13 +93,13 @@
     }
     const auto planned = plan(true);
     if (const auto *refusal = std::get_if<Refusal>(&planned)) {
-        if (waitsForRoom(*refusal))
+        if (waitForCapacity(*refusal))
             return;
         settleNotRun();
         return refuse(*refusal);
     }
-    if (const auto *wait = std::get_if<Wait>(&planned)) {
-        ++m_waits;
+    if (const auto *wait = std::get_if<PlanAgain>(&planned)) {
+        ++m_statusCheckWaits;
         trace("waits for a look at a server that may be cold");
         return m_client.postAfter(wait->time, [self = shared_from_this()] { self->route(); });
     }
@@ -111,51 +111,53 @@
 
 // Whoever is turned away in the middle of a stream loses all of it, while places, and retries, come
 // free within tenths of a second. Callers that do not wait for it leave.
-bool Dispatch::maySeekRoom() const
+bool Dispatch::mayWaitForCapacity() const
 {
-    const bool goesOn
-        = m_streamed && m_exchange->service->isResumable && !m_exchange->lastEventId.empty();
-    return goesOn && remaining() > m_exchange->service->expectedDuration + roomPause
+    const bool mayContinue
+        = m_streamStarted && m_exchange->service->isResumable && !m_exchange->lastEventId.empty();
+    return mayContinue
+        && remaining() > m_exchange->service->expectedDuration + capacityRetryInterval
         && !m_exchange->responder->closed();
 }
 
-void Dispatch::afterRoomPause(std::function<void()> next)
+void Dispatch::runAfterCapacityPause(std::function<void()> next)
 {
     trace("waits for room to go on");
-    m_tried.clear();
-    m_client.postAfter(roomPause, std::move(next));
+    m_triedTargets.clear();
+    m_client.postAfter(capacityRetryInterval, std::move(next));
 }
 
-bool Dispatch::waitsForRoom(const Refusal &refusal)
+bool Dispatch::waitForCapacity(const Refusal &refusal)
 {
-    const bool noRoom
+    const bool noCapacity
         = refusal.code == ResultCode::noBackendServer || refusal.code == ResultCode::overloaded;
-    if (!noRoom || !maySeekRoom())
+    if (!noCapacity || !mayWaitForCapacity())
         return false;
-    afterRoomPause([self = shared_from_this()] { self->route(); });
+    runAfterCapacityPause([self = shared_from_this()] { self->route(); });
     return true;
 }
 
-bool Dispatch::waitsForRetry(AttemptOutcome end)
+bool Dispatch::waitForRetry(AttemptOutcome end)
 {
     const RetryInput input = retryQuestion(end, m_runs, false);
-    if (!certainlyNotRun(end) || decideRetry(input) != RetryDecision::retry || !maySeekRoom())
+    if (!certainlyNotRun(end) || decideRetry(input) != RetryDecision::retry
+        || !mayWaitForCapacity())
         return false;
-    afterRoomPause([self = shared_from_this(), end] {
+    runAfterCapacityPause([self = shared_from_this(), end] {
         if (self->tryAgain(end, false))
             self->route();
-        else if (!self->waitsForRetry(end))
-            self->breakOff(end);
+        else if (!self->waitForRetry(end))
+            self->abortStream(end);
     });
     return true;
 }
 
-bool Dispatch::passQuarantine()
+bool Dispatch::checkQuarantine()
 {
     const std::lock_guard lock(m_state.quarantineMutex);
     const auto decision = m_state.quarantine.check(m_exchange->fingerprint, m_state.clock.now());
-    m_trial = decision == QuarantineDecision::trial;
-    if (m_trial)
+    m_isQuarantineTrial = decision == QuarantineDecision::trial;
+    if (m_isQuarantineTrial)
         m_state.quarantine.onTrialStarted(m_exchange->fingerprint);
     return decision != QuarantineDecision::held && decision != QuarantineDecision::quarantined;
 }
@@ -163,64 +165,68 @@
 TransferLimits Dispatch::limitsFor(const Target &target) const
 {
     TransferLimits limits;
-    limits.connect = std::min(connectTime, remaining());
+    limits.connect = std::min(connectTimeout, remaining());
     limits.total = remaining();
     // An idempotent request does not wait its whole time for a connection that may have gone
     // silent. A booking has nowhere else to go, so it waits.
     const bool moveOn = m_exchange->service->idempotent && !target.isPeer;
-    limits.firstByte = moveOn ? std::min(firstLook, limits.total) : limits.total;
-    limits.idle = moveOn ? firstLook : limits.total;
+    limits.firstByte = moveOn ? std::min(progressCheckInterval, limits.total) : limits.total;
+    limits.idle = moveOn ? progressCheckInterval : limits.total;
     return limits;
 }
 
-bool Dispatch::waitsOn(const Target &target, const ResponseReader &reader, TimePoint heard) const
+bool Dispatch::shouldKeepWaiting(const Target &target, const ResponseReader &reader,
+                                 TimePoint lastReceivedAt) const
 {
     const TimePoint now = m_state.clock.now();
-    const bool began = reader.isStreaming();
-    const Duration patience = began
-        ? longestSilence
-        : std::max(leastPatience, m_exchange->service->expectedDuration * patienceFactor);
-    const bool overdue = now - heard >= patience;
-    const bool gone = isUnresponsive(*target.counters, now);
+    const bool hasStarted = reader.isStreaming();
+    const Duration timeout = hasStarted
+        ? maxStreamGap
+        : std::max(minFirstByteTimeout,
+                   m_exchange->service->expectedDuration * firstByteTimeoutFactor);
+    const bool overdue = now - lastReceivedAt >= timeout;
+    const bool unresponsive = isUnresponsive(*target.counters, now);
     const bool canResume = !m_exchange->lastEventId.empty() || !reader.lastEventId().empty();
-    const bool mayMove = !m_trial
-        && decideRetry(retryQuestion(AttemptOutcome::silent, m_runs + 1, began && !canResume))
+    const bool mayMove = !m_isQuarantineTrial
+        && decideRetry(retryQuestion(AttemptOutcome::silent, m_runs + 1, hasStarted && !canResume))
             == RetryDecision::retry
         && m_state.retries.canAcquire(m_exchange->customer->name, loadName(*m_exchange));
     // A server that answers others may still answer this one; ended now, the request is lost for
     // certain.
     if (!mayMove)
-        return !overdue || !gone;
-    if (gone)
+        return !overdue || !unresponsive;
+    if (unresponsive)
         return false;
     // Elsewhere it begins anew, behind all that wait there already.
-    const bool timeToMove = remaining() >= patience / 2;
+    const bool timeToMove = remaining() >= timeout / 2;
     // A stream that pauses mostly goes on by itself, and one that nobody takes elsewhere is lost.
-    const bool callerHasPart = began || m_streamed;
+    const bool callerHasPart = hasStarted || m_streamStarted;
     const bool silent = !callerHasPart && isSilent(*target.counters, now);
-    const double mostTaken = callerHasPart ? mostTakenForStreams : mostTakenForOthers;
-    const bool moves = timeToMove && (overdue || silent) && roomElsewhere(mostTaken);
+    const double maxUtilization
+        = callerHasPart ? maxUtilizationForStreams : maxUtilizationForOthers;
+    const bool moves = timeToMove && (overdue || silent) && hasCapacityElsewhere(maxUtilization);
     return !moves;
 }
 
 // Whether a server of the region, or another region, has so much room that it takes a request,
 // whatever other instances send it meanwhile.
-bool Dispatch::roomElsewhere(double mostTaken) const
+bool Dispatch::hasCapacityElsewhere(double maxUtilization) const
 {
     const auto table = m_state.routing.read();
     const auto candidates = candidatesIn(*table);
-    const bool atHome
-        = std::any_of(candidates.begin(), candidates.end(), [mostTaken](const Candidate &one) {
-              return one.view->status == ServerStatus::usable && one.load <= mostTaken * one.slots;
+    const bool hasLocalCapacity
+        = std::any_of(candidates.begin(), candidates.end(), [maxUtilization](const Candidate &one) {
+              return one.view->status == ServerStatus::usable
+                  && one.load <= maxUtilization * one.slots;
           });
     const auto &allowed = m_exchange->allowedRegions;
-    const bool mayGoAway = !m_stayHome && !m_exchange->fromPeer;
-    return atHome
-        || (mayGoAway
+    const bool mayUseRemote = !m_stayInRegion && !m_exchange->fromPeer;
+    return hasLocalCapacity
+        || (mayUseRemote
             && std::any_of(allowed.begin(), allowed.end(), [&](const std::string &region) {
                    const auto load
                        = m_state.regions.find(region, loadName(*m_exchange), m_state.clock.now());
-                   return load && load->outstanding < mostTaken * load->slots;
+                   return load && load->outstanding < maxUtilization * load->slots;
                }));
 }
 
@@ -239,7 +245,7 @@
     request.headers.add(std::string(forwardPathHeader), formatForwardPath(path));
     request.headers.add(std::string(previousRunsHeader),
                         std::to_string(exchange.earlierRuns + m_runs));
-    const bool holdsRight = m_right == Right::claim || m_right == Right::issuedKey;
+    const bool holdsRight = m_sendRight == SendRight::claim || m_sendRight == SendRight::issuedKey;
     if (holdsRight || exchange.sendRightAcquired)
         request.headers.add("X-Ibisnotch-Cleared-By", m_state.settings.name);
     return request;
@@ -251,32 +257,33 @@
     return std::max<std::int64_t>(0, prompt.tokens - prompt.sharedTokens());
 }
 
-void Dispatch::dropPending(const Target &target)
+void Dispatch::removeAwaitedFirstToken(const Target &target)
 {
-    target.counters->awaitingFirstToken -= std::exchange(m_awaitingFirst, false) ? 1 : 0;
+    target.counters->awaitingFirstToken -= std::exchange(m_awaitingFirstToken, false) ? 1 : 0;
 }
 
-void Dispatch::noteFirstByte(const Target &target)
+void Dispatch::recordFirstByte(const Target &target)
 {
     if (m_exchange->prompt.tokens == 0)
         return;
     const double waiting = m_responseLoad ? m_responseLoad->waiting : 0;
-    noteFirstToken(
-        *target.counters,
-        {tokensToRead(), waiting, m_state.clock.now() - m_attemptStarted, m_inputs.tokensPerMs});
+    noteFirstToken(*target.counters,
+                   {tokensToRead(), waiting, m_state.clock.now() - m_attemptStartedAt,
+                    m_routeInputs.tokensPerMs});
     m_state.prompts.onPrompt(loadName(*m_exchange), tokensToRead());
-    dropPending(target);
+    removeAwaitedFirstToken(target);
 }
 
-void Dispatch::onServerWord(const Target &target, const ResponseReader &reader)
+void Dispatch::onServerResponse(const Target &target, const ResponseReader &reader)
 {
     if (target.isPeer)
         return;
     recordReceived(*target.counters, m_state.clock.now());
     m_responseLoad = reader.reportedLoad();
     if (reader.isStreaming()) {
-        noteFirstByte(target);
-        m_streaming = m_streaming || recordStreamStarted(*target.counters, m_turn);
+        recordFirstByte(target);
+        m_streamRecorded
+            = m_streamRecorded || recordStreamStarted(*target.counters, m_recoveryEpoch);
     }
     if (reader.isServerLeaving())
         m_state.servers.onSelfReportedLeaving(target.name);
@@ -285,11 +292,11 @@
                                      m_state.clock.now());
 }
 
-void Dispatch::passOn(const HttpResponse &answer, std::string data)
+void Dispatch::writeToCaller(const HttpResponse &answer, std::string data)
 {
-    if (!m_streamed) {
-        m_streamed = true;
-        m_firstByte = m_state.clock.now();
+    if (!m_streamStarted) {
+        m_streamStarted = true;
+        m_firstByteAt = m_state.clock.now();
         m_exchange->responder->start(answer.status,
                                      m_protocol.makeResponseHeaders(*m_exchange, ResultCode::served,
                                                                     answer.headers,
@@ -304,16 +311,16 @@
         settleNotRun();
         return refuse({ResultCode::deadlineTooShort, "", jitteredRetryAfter(1, m_state.random)});
     }
-    if (!target.isPeer && !passQuarantine()) {
+    if (!target.isPeer && !checkQuarantine()) {
         settleNotRun();
         return refuse({ResultCode::heldForTrial, "", jitteredRetryAfter(2, m_state.random)});
     }
     ++m_attempts;
-    m_attemptStarted = m_state.clock.now();
-    m_tried.insert(target.name);
+    m_attemptStartedAt = m_state.clock.now();
+    m_triedTargets.insert(target.name);
     m_servedBy = target.name;
     if (target.isPeer && target.region != m_state.settings.region) {
-        m_sentAway = true;
+        m_forwardedToRegion = true;
         m_state.regions.onForwarded(target.region, loadName(*m_exchange));
     }
     if (target.counters) {
@@ -321,19 +328,19 @@
             m_state.retries.onRequest(m_exchange->customer->name, loadName(*m_exchange),
                                       m_exchange->config().limits.retryShare);
         target.counters->trialInProgress = target.trial;
-        m_turn = recordSent(*target.counters, m_attemptStarted);
+        m_recoveryEpoch = recordSent(*target.counters, m_attemptStartedAt);
         ++target.counters->inFlight;
         ++target.counters->sentSinceReport;
-        m_awaitingFirst = m_exchange->prompt.tokens > 0;
-        target.counters->awaitingFirstToken += m_awaitingFirst ? 1 : 0;
+        m_awaitingFirstToken = m_exchange->prompt.tokens > 0;
+        target.counters->awaitingFirstToken += m_awaitingFirstToken ? 1 : 0;
     }
     auto attempt = std::make_shared<Attempt>(shared_from_this(), target,
                                              m_protocol.makeReader(*m_exchange, target.isPeer));
-    m_current = attempt;
+    m_currentAttempt = attempt;
     m_client.send(makeRequest(target), std::move(attempt));
 }
 
-void Dispatch::noteAttempt(const Target &target, AttemptOutcome end)
+void Dispatch::recordAttempt(const Target &target, AttemptOutcome end)
 {
     m_state.metrics.onAttempt(attemptOutcomeName(end));
     trace(fmt::format("attempt {} at {}: {}", m_attempts, target.name, attemptOutcomeName(end)));
@@ -342,10 +349,10 @@
             m_state.regions.onForwardedFinished(target.region, loadName(*m_exchange));
         return;
     }
-    const Duration taken = m_state.clock.now() - m_attemptStarted;
+    const Duration taken = m_state.clock.now() - m_attemptStartedAt;
     m_cost += target.cost * std::chrono::duration<double>(taken).count();
-    dropPending(target);
-    recordFinished(*target.counters, m_turn, std::exchange(m_streaming, false));
+    removeAwaitedFirstToken(target);
+    recordFinished(*target.counters, m_recoveryEpoch, std::exchange(m_streamRecorded, false));
     --target.counters->inFlight;
     ++target.counters->endedSinceReport;
     const bool refused = end == AttemptOutcome::refusedNotRun || end == AttemptOutcome::rejected;
@@ -366,30 +373,30 @@
                  {"customer", m_exchange->customer->name},
                  {"server", target.name},
                  {"end", std::string(attemptOutcomeName(end))},
-                 {"ms", millisecondsText(m_state.clock.now() - m_attemptStarted)}});
+                 {"ms", millisecondsText(m_state.clock.now() - m_attemptStartedAt)}});
     }
 }
 
 void Dispatch::onAttemptEnd(const Target &target, AttemptOutcome end, Attempt &attempt)
 {
     // The caller already has part of a stream, so an answer that is none cannot follow it.
-    if (end == AttemptOutcome::answered && m_streamed && !attempt.reader().isStreaming())
+    if (end == AttemptOutcome::answered && m_streamStarted && !attempt.reader().isStreaming())
         end = AttemptOutcome::serverError;
-    noteAttempt(target, end);
+    recordAttempt(target, end);
     m_runs += certainlyNotRun(end) ? 0 : 1;
     if (const std::string last = attempt.reader().lastEventId(); !last.empty())
         m_exchange->lastEventId = last;
-    if (end == AttemptOutcome::serverError && m_protocol.passesServerErrors() && !m_streamed)
-        m_failure = attempt.answer();
+    if (end == AttemptOutcome::serverError && m_protocol.passesServerErrors() && !m_streamStarted)
+        m_serverError = attempt.answer();
     m_mayHaveRun = m_mayHaveRun || (!certainlyNotRun(end) && end != AttemptOutcome::answered);
-    if (m_trial) {
+    if (m_isQuarantineTrial) {
         const std::lock_guard lock(m_state.quarantineMutex);
         m_state.quarantine.onTrialFinished(m_exchange->fingerprint);
     }
     if (!target.isPeer && end == AttemptOutcome::connectionLost && !m_exchange->responder->closed())
         onServerLost(target);
-    if (end == AttemptOutcome::answered && turnedAwayElsewhere(target, attempt)) {
-        stayHome();
+    if (end == AttemptOutcome::answered && isRejectedByRemoteRegion(target, attempt)) {
+        returnToLocalRegion();
         return route();
     }
     const bool wholeStream = end == AttemptOutcome::answered && attempt.reader().eventCount() > 0;
@@ -399,13 +406,13 @@
     if (end == AttemptOutcome::answered)
         return deliver(attempt);
     const bool mayResume = m_exchange->service->isResumable && !m_exchange->lastEventId.empty();
-    if (tryAgain(end, m_streamed && !mayResume))
+    if (tryAgain(end, m_streamStarted && !mayResume))
         return routeAgain(end);
-    if (waitsForRetry(end))
+    if (waitForRetry(end))
         return;
-    if (m_streamed)
-        return breakOff(end);
-    giveUp(end);
+    if (m_streamStarted)
+        return abortStream(end);
+    failRequest(end);
 }
 
 // A server that cannot be reached may just have been killed by a copy of this very request, sent
@@ -415,7 +422,7 @@
 {
     if (end != AttemptOutcome::notConnected)
         return route();
-    m_client.postAfter(markArrival, [self = shared_from_this()] { self->route(); });
+    m_client.postAfter(crashMarkDelay, [self = shared_from_this()] { self->route(); });
 }
 
 void Dispatch::onServerLost(const Target &target)
@@ -437,7 +444,7 @@
 // each time.
 void Dispatch::checkServerAlive(const Target &target)
 {
-    m_client.postAfter(aliveCheckAfter, [self = shared_from_this(), target] {
+    m_client.postAfter(serverCheckDelay, [self = shared_from_this(), target] {
         BackendServer server;
         server.address = target.address;
         server.pool = self->m_exchange->pool;
@@ -465,7 +472,7 @@
     input.idempotent = m_exchange->service->idempotent;
     input.callerHasSeenBytes = callerHasSeenBytes;
     // Servers that refuse a stream which has to go on leave others to ask; its caller has a part.
-    input.attemptsMade = m_streamed ? runs : m_attempts;
+    input.attemptsMade = m_streamStarted ? runs : m_attempts;
     input.runsMade = m_exchange->earlierRuns + runs;
     input.maxRuns = m_exchange->service->maxAttempts;
     input.remaining = remaining();
@@ -480,15 +487,15 @@
         return false;
     // Only the instance next to the backend servers repeats a request that was sent; one that
     // forwarded it does so only where it reached nobody. Otherwise each would multiply the other's.
-    const bool forwarded = m_sentAway;
+    const bool forwarded = m_forwardedToRegion;
     if (forwarded && !certainlyNotRun(end))
         return false;
     // The trial of a suspect request is one attempt at one server, even if that is gone already.
     // One that refused it lives, and has not tried it.
-    if (m_trial && end != AttemptOutcome::refusedNotRun)
+    if (m_isQuarantineTrial && end != AttemptOutcome::refusedNotRun)
         return false;
     // Only the issuer of a key may send its booking; there is nowhere else to try.
-    if (m_toIssuer)
+    if (m_forwardedToIssuer)
         return false;
     // An attempt that reached nobody cost no backend server anything, so it needs no budget.
     const bool costsNothing = end == AttemptOutcome::notConnected;
@@ -504,25 +511,25 @@
 
 // Another region has no room after all; news of its load is half a second old. The request has run
 // nowhere, so home may still take it.
-bool Dispatch::turnedAwayElsewhere(const Target &target, const Attempt &attempt) const
+bool Dispatch::isRejectedByRemoteRegion(const Target &target, const Attempt &attempt) const
 {
     const ResultCode code = attempt.reader().resultCode();
-    const bool noRoom = code == ResultCode::overloaded || code == ResultCode::noBackendServer
+    const bool noCapacity = code == ResultCode::overloaded || code == ResultCode::noBackendServer
         || code == ResultCode::deadlineTooShort;
     const auto &allowed = m_exchange->allowedRegions;
-    const bool homeAllowed
+    const bool localAllowed
         = std::find(allowed.begin(), allowed.end(), m_state.settings.region) != allowed.end();
-    const bool away = target.isPeer && target.region != m_state.settings.region;
+    const bool isRemote = target.isPeer && target.region != m_state.settings.region;
     const bool mayRunAgain = m_exchange->service->idempotent || !m_mayHaveRun;
-    return away && noRoom && homeAllowed && !m_stayHome && mayRunAgain && !m_toIssuer
-        && !m_exchange->responder->closed();
+    return isRemote && noCapacity && localAllowed && !m_stayInRegion && mayRunAgain
+        && !m_forwardedToIssuer && !m_exchange->responder->closed();
 }
 
-void Dispatch::stayHome()
+void Dispatch::returnToLocalRegion()
 {
     trace("turned away there; stays in its region");
-    m_stayHome = true;
-    m_sentAway = false;
+    m_stayInRegion = true;
+    m_forwardedToRegion = false;
     if (m_admitted)
         m_state.admission.onFinished(m_exchange->customer->name, m_exchange->service->name);
     m_admitted = false;
--- a/src/entry/dispatch.h
+++ b/src/entry/dispatch.h
@@ -28,8 +28,8 @@
 // What the last choice of a target went by, for the line that is logged when the request is over.
 struct RouteInputs
 {
-    RegionLoad home;
-    std::optional<RegionLoad> away; // of the region chosen, if another one
+    RegionLoad localLoad;
+    std::optional<RegionLoad> remoteLoad; // of the region chosen, if another one
     double maxEventIntervalSeconds = 0; // between two events of a stream
     double serverLoad = 0; // corrected, of the server chosen
     double serverSlots = 0;
@@ -53,10 +53,10 @@
     class Attempt;
 
     // How the right to send a booking was taken.
-    enum class Right { none, notNeeded, issuedKey, claim };
+    enum class SendRight { none, notNeeded, issuedKey, claim };
 
     // Booking rights.
-    void takeRight();
+    void acquireSendRight();
     void useIssuedKey(const IssuedKey &key);
     void forwardToIssuer(const IssuedKey &key);
     void claimCallerKey(const CallerKey &key);
@@ -66,72 +66,75 @@
     void settleUnknown();
 
     // Choice of a target.
-    struct Wait // and plan again then
+    struct PlanAgain // and plan again then
     {
         Duration time{};
-        bool operator==(const Wait &) const = default;
+        bool operator==(const PlanAgain &) const = default;
     };
-    using Plan = std::variant<Target, Refusal, Wait>;
+    using Plan = std::variant<Target, Refusal, PlanAgain>;
     Plan plan(bool admit);
     std::vector<Candidate> candidatesIn(const RoutingTable &table) const;
     double sharedReadSeconds(std::span<const Candidate> candidates) const;
     // Leaves the candidates that may get a request now. False if there are none, but one may soon.
-    bool keepReady(const RoutingTable &table, std::vector<Candidate> &candidates) const;
-    PossiblyColdServer unsureServer(const RoutingTable &table, const ServerView &view) const;
-    std::optional<std::size_t> unsureShare(const RoutingTable &table, const ServerView &view) const;
-    bool takeSendingRight(const RoutingTable &table, const ServerView &view) const;
-    bool mayWarmNow(const RoutingTable &table, const ServerView &view) const;
-    std::optional<Duration> warmingPause(const RoutingTable &table, const ServerView &view) const;
-    AdmissionInput admissionQuestion(const RegionLoad &load, bool away) const;
-    Plan planAway(const std::string &region);
+    bool keepReadyCandidates(const RoutingTable &table, std::vector<Candidate> &candidates) const;
+    PossiblyColdServer possiblyColdServer(const RoutingTable &table, const ServerView &view) const;
+    std::optional<std::size_t> possiblyColdShareOf(const RoutingTable &table,
+                                                   const ServerView &view) const;
+    bool tryAcquireColdSend(const RoutingTable &table, const ServerView &view) const;
+    bool maySendWhileCold(const RoutingTable &table, const ServerView &view) const;
+    std::optional<Duration> warmupIntervalOf(const RoutingTable &table,
+                                             const ServerView &view) const;
+    AdmissionInput admissionQuestion(const RegionLoad &load, bool isRemote) const;
+    Plan planRemote(const std::string &region);
     Plan pickServer(const RoutingTable &table);
     static Target peerTarget(const Member &member);
-    Target targetOf(const ServerView &view) const;
+    Target serverTarget(const ServerView &view) const;
 
     // Attempts.
     void route();
     // For a stream that has to go on, where nobody takes it now, or no retry is left. True if it
     // will be tried again.
-    bool waitsForRoom(const Refusal &refusal);
-    bool waitsForRetry(AttemptOutcome end);
-    bool maySeekRoom() const;
-    void afterRoomPause(std::function<void()> next);
+    bool waitForCapacity(const Refusal &refusal);
+    bool waitForRetry(AttemptOutcome end);
+    bool mayWaitForCapacity() const;
+    void runAfterCapacityPause(std::function<void()> next);
     void send(const Target &target);
-    bool passQuarantine();
+    bool checkQuarantine();
     OutgoingRequest makeRequest(const Target &target) const;
     // What the attempt under way reports.
-    void onServerWord(const Target &target, const ResponseReader &reader);
-    void passOn(const HttpResponse &answer, std::string data);
+    void onServerResponse(const Target &target, const ResponseReader &reader);
+    void writeToCaller(const HttpResponse &answer, std::string data);
     void onCallerLeft();
     // What the server still has to read of the prompt, as far as it can be known.
     std::int64_t tokensToRead() const;
-    void noteFirstByte(const Target &target);
-    // Whether an attempt without a byte since `heard` may still come to something better than what
-    // another server would give.
-    bool waitsOn(const Target &target, const ResponseReader &reader, TimePoint heard) const;
-    bool roomElsewhere(double mostTaken) const;
-    void dropPending(const Target &target);
+    void recordFirstByte(const Target &target);
+    // Whether an attempt without a byte since `lastReceivedAt` may still come to something better
+    // than what another server would give.
+    bool shouldKeepWaiting(const Target &target, const ResponseReader &reader,
+                           TimePoint lastReceivedAt) const;
+    bool hasCapacityElsewhere(double maxUtilization) const;
+    void removeAwaitedFirstToken(const Target &target);
     TransferLimits limitsFor(const Target &target) const;
     void onAttemptEnd(const Target &target, AttemptOutcome end, Attempt &attempt);
     void routeAgain(AttemptOutcome end);
-    void noteAttempt(const Target &target, AttemptOutcome end);
+    void recordAttempt(const Target &target, AttemptOutcome end);
     void onServerLost(const Target &target);
     void checkServerAlive(const Target &target);
     RetryInput retryQuestion(AttemptOutcome end, int runs, bool callerHasSeenBytes) const;
     bool tryAgain(AttemptOutcome end, bool callerHasSeenBytes);
-    bool turnedAwayElsewhere(const Target &target, const Attempt &attempt) const;
-    void stayHome();
+    bool isRejectedByRemoteRegion(const Target &target, const Attempt &attempt) const;
+    void returnToLocalRegion();
     void deliver(Attempt &attempt);
     void reply(HttpResponse answer, ResultCode code);
-    void breakOff(AttemptOutcome end);
+    void abortStream(AttemptOutcome end);
 
     // The end.
-    void giveUp(AttemptOutcome end);
+    void failRequest(AttemptOutcome end);
     void refuse(const Refusal &refusal);
     void finish(ResultCode code);
 
-    void logOver(ResultCode code, bool good) const;
-    std::string inputsText() const;
+    void logFinished(ResultCode code, bool good) const;
+    std::string routeInputsText() const;
     void trace(std::string what);
     Duration remaining() const;
     std::string servedBy(const Headers &answer) const;
@@ -143,36 +146,36 @@
     ExchangePtr m_exchange;
     HttpClient &m_client;
 
-    Right m_right = Right::none;
+    SendRight m_sendRight = SendRight::none;
     std::uint64_t m_claimAttempt = 0;
     std::string m_claimPage;
     std::string m_claimId;
-    double m_draw; // of this request, for admission
+    double m_admissionDraw; // of this request, for admission
     bool m_admitted = false;
-    bool m_toIssuer = false;
+    bool m_forwardedToIssuer = false;
     // True once an attempt ended without certainty that it did not run. From then on no answer may
     // say "not run".
     bool m_mayHaveRun = false;
-    bool m_trial = false;
-    bool m_sentAway = false;
-    bool m_stayHome = false; // another region had no room
-    int m_waits = 0; // for a server that may get the request
+    bool m_isQuarantineTrial = false;
+    bool m_forwardedToRegion = false;
+    bool m_stayInRegion = false; // another region had no room
+    int m_statusCheckWaits = 0; // for a server that may get the request
     int m_attempts = 0;
     int m_runs = 0; // attempts that may have run
-    std::weak_ptr<Attempt> m_current;
+    std::weak_ptr<Attempt> m_currentAttempt;
     bool m_callerLeft = false;
-    std::uint32_t m_turn = 0; // of the server of the attempt under way (silence.h)
-    bool m_streaming = false; // counted at that server
-    bool m_awaitingFirst = false; // counted at the server of the attempt under way
-    bool m_streamed = false; // the caller has the head of a stream
+    std::uint32_t m_recoveryEpoch = 0; // of the server of the attempt under way (silence.h)
+    bool m_streamRecorded = false; // counted at that server
+    bool m_awaitingFirstToken = false; // counted at the server of the attempt under way
+    bool m_streamStarted = false; // the caller has the head of a stream
     // A whole failure answer of a backend server, for the caller if nothing better comes.
-    std::optional<HttpResponse> m_failure;
-    std::set<std::string> m_tried;
+    std::optional<HttpResponse> m_serverError;
+    std::set<std::string> m_triedTargets;
     std::string m_servedBy;
-    TimePoint m_attemptStarted{};
+    TimePoint m_attemptStartedAt{};
     double m_cost = 0;
-    std::optional<TimePoint> m_firstByte;
-    RouteInputs m_inputs;
+    std::optional<TimePoint> m_firstByteAt;
+    RouteInputs m_routeInputs;
     std::optional<ResponseLoad> m_responseLoad;
 };
 
