--- a/src/entry/attempt.cc
+++ b/src/entry/attempt.cc
@@ -47,7 +47,7 @@
         m_answer.body += passed;
         if (m_answer.body.size() <= maxBufferedBody)
             return true;
-        // From here on a failure shows as a connection that ends early.
+        // From here on the caller sees a failure only as a connection that ends early.
         m_exceedsBuffer = true;
         passed = std::move(m_answer.body);
         m_answer.body.clear();
@@ -59,7 +59,7 @@
     return !m_dispatch->m_exchange->responder->closed();
 }
 
-// The first event comes after the prompt is read and says nothing of the pace.
+// The first event arrives after the prompt is read and doesn't show the interval between events.
 void Dispatch::Attempt::recordEventInterval()
 {
     const int events = m_reader->eventCount() - m_eventsRecorded;
@@ -105,7 +105,7 @@
 
 void Dispatch::Attempt::onEnd(const TransferResult &result)
 {
-    // The dispatch is kept by this object, and this object by the client until it returns.
+    // The HTTP client keeps this object, and this object the dispatch, alive until onEnd() returns.
     m_dispatch->onAttemptEnd(m_target, attemptEndOf(result), *this);
 }
 
--- a/src/entry/attempt.h
+++ b/src/entry/attempt.h
@@ -1,4 +1,5 @@
-// One attempt's answer, checked as it arrives and passed on when it is known to be ours.
+// Checks the response to one attempt as it arrives and sends it to the caller once it is known to
+// belong to the request.
 #pragma once
 
 #include <memory>
@@ -33,12 +34,12 @@
     std::shared_ptr<Dispatch> m_dispatch;
     Target m_target;
     std::unique_ptr<ResponseReader> m_reader;
-    HttpResponse m_answer; // kept until it is whole
-    bool m_exceedsBuffer = false; // to be kept whole
+    HttpResponse m_answer; // the body is buffered unless the response is a stream or too long
+    bool m_exceedsBuffer = false; // the body is too long to be buffered
     std::optional<AttemptOutcome> m_stoppedWith;
-    TimePoint m_lastReceivedAt; // the last byte, or the start
+    TimePoint m_lastReceivedAt; // time of the last data, or of the start of the attempt
     int m_eventsRecorded = 0;
-    TimePoint m_lastEventAt{}; // of the last event
+    TimePoint m_lastEventAt{};
 };
 
 } // namespace ibisnotch
--- a/src/entry/claim-service.cc
+++ b/src/entry/claim-service.cc
@@ -114,7 +114,8 @@
         else
             writer.onReadFailed(call, m_clock.now());
         if (!good)
-            logLine(LogPart::claims, LogLevel::warn, "Claim page not readable.", {{"page", name}});
+            logLine(LogPart::claims, LogLevel::warn, "Claim page cannot be read.",
+                    {{"page", name}});
         advance(name);
     });
 }
@@ -127,7 +128,7 @@
                                                              write.index, m_clock.now());
                               if (write.end == StoreEnd::unknown)
                                   logLine(LogPart::claims, LogLevel::warn,
-                                          "Claim write without an answer.", {{"page", name}});
+                                          "No response to a claim page write.", {{"page", name}});
                               advance(name);
                           });
 }
--- a/src/entry/claim-service.h
+++ b/src/entry/claim-service.h
@@ -1,4 +1,4 @@
-// Carries out what the claim page writers decide, against the platform's store.
+// Acquires and settles booking claims by reading and writing claim pages in the store.
 #pragma once
 
 #include <functional>
@@ -13,7 +13,8 @@
 
 namespace ibisnotch {
 
-// Everything happens on the loop of one HTTP client.
+// The public functions may be called from any thread. All work is done on the event loop of one
+// HTTP client, as decided by one ClaimPageWriter for each page.
 class ClaimService
 {
 public:
@@ -25,12 +26,13 @@
         ClaimPageWriter::Request request;
     };
 
-    // Called back on the desk's loop.
+    // Acquires a claim. `done` is called on the loop of the HTTP client.
     void claim(PageClaim pageClaim, std::function<void(const ClaimResult &)> done);
+    // Records the outcome of a claim that was granted.
     void settle(const std::string &page, std::uint64_t attempt, const std::string &claimId,
                 ClaimState state, int httpStatus);
 
-    // Whether outcomes are still to be written; blocks until the loop has looked.
+    // Returns true if outcomes are still to be written. Blocks until the loop has checked.
     bool hasPendingOutcomes();
 
 private:
--- a/src/entry/cold-server-monitor.cc
+++ b/src/entry/cold-server-monitor.cc
@@ -7,8 +7,8 @@
 
 namespace {
 
-// A server that has answered is asked again with the next tick: in a burst a warm server gets
-// within a quarter of a second what a cold one bears in a whole one.
+// A server that has responded is checked again with the next tick, because in a burst a warm
+// server receives within a quarter of a second what a cold one sustains in a whole one.
 constexpr Duration checkTimeout = std::chrono::milliseconds(500);
 
 } // namespace
@@ -56,7 +56,7 @@
     const auto left = m_protocol.remainingColdTime(answer);
     if (!m_protocol.isSameIncarnation(target, answer))
         return std::nullopt;
-    // A check that is turned away does not tell.
+    // A server that rejects the check doesn't report whether it is warm.
     if (!left && answer.response.status == statusOk)
         recordWarm(*view.counters, check.sentWhenStarted, now);
     if (!left)
--- a/src/entry/cold-server-monitor.h
+++ b/src/entry/cold-server-monitor.h
@@ -1,4 +1,4 @@
-// Finds out which backend servers are cold while neither the store nor a peer tells.
+// Checks which backend servers are cold while neither the store nor a peer reports it.
 #pragma once
 
 #include <cstdint>
@@ -14,14 +14,14 @@
 
 namespace ibisnotch {
 
-// One look at a server.
+// A health check of a server that is possibly cold.
 struct ColdCheck
 {
     ServerView view;
-    std::uint32_t sentWhenStarted = 0; // possiblyColdSent when it was sent
+    std::uint32_t sentWhenStarted = 0; // the counter possiblyColdSent when the check was sent
 };
 
-// On the control loop only.
+// Not thread safe; used on the control loop only.
 class ColdServerMonitor
 {
 public:
@@ -30,19 +30,22 @@
     {
     }
 
-    // Several times a second. Servers to look at now: those for which `isResponsible` holds, and
-    // those that this instance has sent to, or may want to, since it last found them warm.
+    // Returns the possibly cold servers to check now: those for which `isResponsible` returns true,
+    // and those to which this instance has sent, or may send, requests since its last check found
+    // them warm. Called several times a second.
     std::vector<ColdCheck>
     dueForHealthCheck(const std::function<bool(const ServerView &)> &isResponsible);
-    // The answer to that. What the region's other instances have to hear, if anything.
+    // Evaluates the response to a check. Returns the update for the region's other instances, if
+    // there is one.
     std::optional<ColdUpdate> onHealthCheckEnded(const ColdCheck &check, const WholeAnswer &answer);
-    // From another instance of the region. True if it was news.
+    // Applies an update, from another instance of the region or from a check. Returns true if it
+    // changed anything.
     bool onUpdate(const ColdUpdate &news);
 
 private:
     EntryState &m_state;
     const Protocol &m_protocol;
-    std::map<std::string, TimePoint> m_nextCheck; // of servers that may be cold
+    std::map<std::string, TimePoint> m_nextCheck; // of possibly cold servers, by name
 };
 
 } // namespace ibisnotch
--- a/src/entry/dispatch-booking.cc
+++ b/src/entry/dispatch-booking.cc
@@ -1,4 +1,4 @@
-// How a dispatch takes the right to send a booking, and what it records of it.
+// Dispatch: acquires the right to send a booking and records the booking's outcome.
 #include <algorithm>
 
 #include <fmt/format.h>
@@ -17,8 +17,8 @@
 {
     if (const auto *issued = std::get_if<IssuedKey>(&*m_exchange->bookingKey))
         return useIssuedKey(*issued);
-    // The key is looked up before the load: a refusal that came first would say "not run" of a key
-    // whose earlier send may have run, and its caller would book again under a new one.
+    // The key is checked before admission. A refusal for load would report "not run" for a key
+    // whose earlier request may have run, and the caller would book again with a new key.
     claimCallerKey(std::get<CallerKey>(*m_exchange->bookingKey));
 }
 
@@ -36,7 +36,7 @@
         trace("issued key, first use");
         return route();
     case IssuedKeyUse::repeat: {
-        trace("issued key, answer repeated");
+        trace("issued key, response repeated");
         HttpResponse response{
             decision.httpStatus,
             resultHeaders(m_exchange->id, ResultCode::bookingRepeated, servedBy({})),
@@ -72,7 +72,7 @@
     const auto &allowed = m_exchange->allowedRegions;
     if (std::find(allowed.begin(), allowed.end(), found->region) == allowed.end())
         return refuse({ResultCode::residencyForbids, "the key's issuer", {}});
-    trace("handed to the issuer of its key, " + found->name);
+    trace("forwarded to the issuer of its key, " + found->name);
     m_forwardedToIssuer = true;
     send(peerTarget(*found));
 }
@@ -112,9 +112,9 @@
     }
     m_sendRight = SendRight::claim;
     trace("claim granted");
-    // This process may have been paused since it checked the key's age. Once the claim is held, a
-    // second look suffices: the page of a key whose time is over may be dropped, but no instance
-    // accepts that key any more, so nobody can claim it again behind our back.
+    // This process may have been paused since it checked the key's age. One more check after the
+    // claim was granted is enough: the claim page of an expired key may be deleted, but no instance
+    // accepts that key any more, so it cannot be claimed again.
     const auto &key = std::get<CallerKey>(*m_exchange->bookingKey);
     const Duration life = m_exchange->config().limits.bookingKeyLifetime;
     if (!isKeyAccepted(key, m_state.clock.wallNow(), life) || remaining().count() <= 0) {
@@ -148,7 +148,7 @@
 
 void Dispatch::settleUnknown()
 {
-    // A claim without an outcome already means "unknown" to everyone who reads it.
+    // A claim without an outcome is already read as "unknown" by every instance.
     if (m_sendRight == SendRight::issuedKey) {
         const std::lock_guard lock(m_state.keysMutex);
         m_state.issuedKeys.finishUnknown(m_exchange->bookingKeyText);
--- a/src/entry/dispatch-end.cc
+++ b/src/entry/dispatch-end.cc
@@ -1,5 +1,5 @@
-// How a dispatch ends: the answer, the refusal or the cut that its caller sees, and the record of
-// it.
+// Dispatch: the response, refusal or aborted stream that ends a request, with its metrics and log
+// line.
 #include <fmt/format.h>
 
 #include "attempt.h"
@@ -19,7 +19,8 @@
         m_control.shareMarks(std::move(cleared));
     const ResultCode code = attempt.reader().resultCode();
     const RunState run = resultInfo(code).runState;
-    // A peer's refusal is true of its own part; an earlier attempt here may have run.
+    // A peer's refusal covers only its own attempts; an earlier attempt of this instance may have
+    // run.
     if (run == RunState::notRun && m_mayHaveRun) {
         settleUnknown();
         return refuse({code, "", jitteredRetryAfter(1, m_state.random)});
@@ -46,7 +47,7 @@
     finish(code);
 }
 
-// The caller has part of an answer. It must see that the rest is missing.
+// Ends a stream early. The caller has part of the response and must see that the rest is missing.
 void Dispatch::abortStream(AttemptOutcome end)
 {
     const bool late = remaining().count() <= 0;
@@ -64,7 +65,7 @@
         settleUnknown();
         return finish(ResultCode::callerLeft);
     }
-    // The issuer may have run this key before and is not there to say so.
+    // The issuer cannot be reached and may have sent the booking of this key before.
     if (m_forwardedToIssuer && certainlyNotRun(end))
         return refuse({ResultCode::issuerGone, "", {}});
     if (certainlyNotRun(end))
@@ -79,21 +80,21 @@
 void Dispatch::refuse(const Refusal &wanted)
 {
     Refusal refusal = wanted;
-    // An earlier attempt of this request may have run. A later refusal, true of the last attempt
-    // alone, would tell the caller that nothing happened at all.
+    // An earlier attempt of this request may have run. A refusal that is only true of the last
+    // attempt would tell the caller that the request did not run at all.
     if (m_mayHaveRun && resultInfo(refusal.code).runState == RunState::notRun)
         refusal.code = m_exchange->service->idempotent ? ResultCode::backendFailed
                                                        : ResultCode::outcomeUnknown;
-    // The head of a stream is out, so no other answer can follow on this connection.
+    // The headers of a stream were sent, so no other response can follow on this connection.
     if (m_streamStarted) {
-        trace("stream cut: " + std::string(resultInfo(refusal.code).name));
+        trace("stream aborted: " + std::string(resultInfo(refusal.code).name));
         m_exchange->responder->abort();
         settleUnknown();
         return finish(resultInfo(refusal.code).runState == RunState::notRun
                           ? ResultCode::answerCutShort
                           : refusal.code);
     }
-    // A server's own failure tells the caller more than that there is no better answer.
+    // A server's error response is more useful to the caller than a general refusal.
     if (m_serverError) {
         settleUnknown();
         return reply(*std::exchange(m_serverError, std::nullopt), ResultCode::backendFailed);
@@ -110,7 +111,7 @@
     if (m_admitted)
         m_state.admission.onFinished(exchange.customer->name, exchange.service->name);
     m_admitted = false;
-    // What did not run is no use of the customer's.
+    // A request that did not run doesn't count against the customer's usage cap.
     const bool ran = m_attempts > 0 && resultInfo(code).runState != RunState::notRun;
     if (exchange.usageCounted > 0 && !ran)
         m_state.usage.release(exchange.customer->name, exchange.usageCounted, now);
@@ -128,7 +129,7 @@
     const bool good = resultInfo(code).runState == RunState::run && inTime;
     record.worthDelivered = good ? exchange.service->worth : 0;
     m_state.metrics.onRequest(record);
-    // A caller's own faults do not spend the service's error budget.
+    // Errors of the caller don't count against the service's error budget.
     constexpr int firstSystemCode = 3000;
     const bool callersFault
         = static_cast<int>(code) < firstSystemCode && resultInfo(code).runState == RunState::notRun;
@@ -140,11 +141,14 @@
     --m_state.inFlight;
 }
 
-// "home:LOAD/SLOTS+DELAY", then the same for another region and for the server with the age of the
-// news, and how long it was still taken for cold; "pace:SEEN/BEARABLE" between two events of a
-// stream where the request would run, if known; "list:REVISION,age" of the list of servers, with
-// "looks" if it waited for looks at servers that may be cold. Delays, ages and paces in
-// milliseconds.
+// Returns the inputs of the routing decision for the log, separated by ";":
+// - "home:LOAD/SLOTS+DELAY" of the local region; the same for the other region that was chosen,
+//   under its name, and for the chosen server, both with the age of the report, and "cold" with the
+//   time that the server was still cold;
+// - "pace:MEASURED/ACCEPTABLE", the interval between stream events where the request would run;
+// - "list:REVISION,age" of the list of servers, and "looks" with the number of times that the
+//   request waited for checks of possibly cold servers.
+// Delays, ages and intervals are in milliseconds.
 std::string Dispatch::routeInputsText() const
 {
     constexpr double toMs = 1000;
--- a/src/entry/dispatch-plan.cc
+++ b/src/entry/dispatch-plan.cc
@@ -1,4 +1,4 @@
-// Where a dispatch sends a request: region, admission, backend server.
+// Dispatch: choice of region, admission and choice of a backend server.
 #include <algorithm>
 
 #include <fmt/format.h>
@@ -13,10 +13,10 @@
 namespace {
 
 constexpr double noServerRetrySeconds = 2;
-// For a look at a server that may be cold, which takes a tick of the control loop and the way.
+// The check of a possibly cold server takes a tick of the control loop and one network round trip.
 constexpr Duration statusCheckWait = std::chrono::milliseconds(30);
 constexpr int maxStatusCheckWaits = 16;
-// Two rounds of probes; a member that joins is told the others in its first.
+// Two rounds of probes. A member that joins receives the other members in its first round.
 constexpr Duration membershipSettleTime = std::chrono::seconds(2);
 
 } // namespace
@@ -25,14 +25,14 @@
 {
     auto candidates
         = candidatesForService(table, *m_exchange->service, m_triedTargets, m_exchange->pool);
-    // A pool may have one server in the region. One that answers, if with a failure, is better than
-    // the way to another region.
+    // A pool may have only one server in the region. A server that responds, even with an error, is
+    // better than the round trip to another region.
     if (candidates.empty() && m_serverError)
         candidates = candidatesForService(table, *m_exchange->service, {}, m_exchange->pool);
     std::erase_if(candidates, [&](const Candidate &candidate) {
         return !maySendWhileCold(table, *candidate.view);
     });
-    // A request that may run once only is lost if the server on trial is still out of order.
+    // A request that may run only once is lost if the ejected server on trial still fails.
     const bool othersUsable
         = std::any_of(candidates.begin(), candidates.end(), [](const Candidate &one) {
               return one.view->status == ServerStatus::usable;
@@ -46,7 +46,7 @@
     return candidates;
 }
 
-// The time in which a server of the region would read what the prompt shares.
+// Returns the time in seconds that a server in the region needs to read the prompt's shared part.
 double Dispatch::sharedReadSeconds(std::span<const Candidate> candidates) const
 {
     if (candidates.empty() || m_exchange->prefixHash == 0)
@@ -55,7 +55,7 @@
     return seconds(readTime(candidates.front().tokensPerMs, shared));
 }
 
-// Whether a server that is cold may get a request from this instance now.
+// Returns false if the server is cold and may not get a request from this instance now.
 bool Dispatch::maySendWhileCold(const RoutingTable &table, const ServerView &view) const
 {
     const TimePoint now = m_state.clock.now();
@@ -63,7 +63,7 @@
         return true;
     if (now < view.cooldownUntil)
         return false;
-    // An instance that has just started does not yet know with whom it shares.
+    // An instance that has just started doesn't yet know the other senders.
     if (now < m_state.startedAt + membershipSettleTime)
         return false;
     const auto pause = warmupIntervalOf(table, view);
@@ -92,8 +92,8 @@
     return {lastSentAt, *share > 0, canSendPossiblyCold(counters, *share, *since)};
 }
 
-// While nobody tells whether a server is cold, a burst could reach one that turned cold a moment
-// ago.
+// While neither the store nor a peer reports which servers are cold, a burst could reach a server
+// that became cold a moment ago.
 bool Dispatch::keepReadyCandidates(const RoutingTable &table,
                                    std::vector<Candidate> &candidates) const
 {
@@ -114,8 +114,8 @@
     return possiblyColdShare(table, m_state.settings.warmup, m_state.settings.name, view.server);
 }
 
-// Takes the right to send to a server that is cold or may be. False if another thread took it in
-// between.
+// Acquires the right to send to a server that is cold or possibly cold. Returns false if another
+// thread acquired it in between.
 bool Dispatch::tryAcquireColdSend(const RoutingTable &table, const ServerView &view) const
 {
     const TimePoint now = m_state.clock.now();
@@ -164,7 +164,7 @@
     if (!candidates.empty())
         input.localRunningPerServer
             = input.localLoad.outstanding / static_cast<double>(candidates.size());
-    // A caller that has a part of its stream is not turned away for the rest.
+    // A caller that has part of its stream is not rejected for the rest.
     admit = admit && m_exchange->lastEventId.empty();
     input.localRejects = admit && !m_admitted
         && m_state.admission.decide(admissionQuestion(input.localLoad, false), m_state.random).code
--- a/src/entry/dispatch.cc
+++ b/src/entry/dispatch.cc
@@ -13,24 +13,26 @@
 
 namespace {
 
-// How long an idempotent request waits for its first byte, in usual times of one run, and at least;
-// callers leave a stream that brings nothing after two seconds at the earliest.
+// Timeout of an idempotent request for its first byte: a multiple of the expected duration of one
+// run, but at least the minimum. Callers close a stream without data after two seconds at the
+// earliest.
 constexpr int firstByteTimeoutFactor = 8;
 constexpr Duration minFirstByteTimeout = std::chrono::seconds(2);
-// Between two pieces of an answer. Callers leave a stream that brings nothing for two seconds at
-// the earliest; whoever waits on after three waits for a server that is gone.
+// Maximum time between two pieces of a response. Callers close a stream without data after two
+// seconds at the earliest; a server that sends nothing for three seconds has failed.
 constexpr Duration maxStreamGap = std::chrono::seconds(3);
-// Parts of a server's slots that may be taken where a request is to go on from a server that lives.
-constexpr double maxUtilizationForStreams = 0.5; // that have begun; whoever turns one away cuts it
+// Highest utilization of a server's slots at which a request may move to it from a working server.
+// The limit is lower for streams that have started, because a server that rejects one cuts it off.
+constexpr double maxUtilizationForStreams = 0.5;
 constexpr double maxUtilizationForOthers = 0.9;
-// When an attempt that brings nothing is first looked at.
+// An attempt that receives nothing is checked for the first time after this.
 constexpr Duration progressCheckInterval = std::chrono::milliseconds(600);
 // Servers of the region accept within milliseconds, another region within 160 ms.
 constexpr Duration connectTimeout = std::chrono::milliseconds(500);
 constexpr Duration capacityRetryInterval = std::chrono::milliseconds(150);
-// A datagram to an instance of the region takes some 4 ms.
+// A datagram to an instance in the same region takes about 4 ms.
 constexpr Duration crashMarkDelay = std::chrono::milliseconds(10);
-// A server that lives has closed or accepted by then.
+// By then, a working server has closed the connection or accepted a new one.
 constexpr Duration serverCheckDelay = std::chrono::milliseconds(300);
 
 } // namespace
@@ -54,7 +56,7 @@
 
 std::string Dispatch::servedBy(const Headers &answer) const
 {
-    // A peer names the way that the request took from there.
+    // A peer reports the instances and the server that handled the request after it.
     return m_state.settings.name + "/" + answer.get("X-Served-By").value_or(m_servedBy);
 }
 
@@ -76,8 +78,8 @@
 
 // ---- Attempts -----------------------------------------------------------------------------------
 
-// Work for a caller that has left keeps a slot from others, so the transfer under way is ended; the
-// backend server sees its connection close and stops.
+// Cancels the current transfer, because work for a caller that has disconnected would occupy a
+// slot. The backend server sees its connection close and stops.
 void Dispatch::onCallerLeft()
 {
     m_callerLeft = true;
@@ -100,17 +102,17 @@
     }
     if (const auto *wait = std::get_if<PlanAgain>(&planned)) {
         ++m_statusCheckWaits;
-        trace("waits for a look at a server that may be cold");
+        trace("waiting for the check of a server that may be cold");
         return m_client.postAfter(wait->time, [self = shared_from_this()] { self->route(); });
     }
     const Target &target = std::get<Target>(planned);
     if (target.isPeer)
-        trace("sent to another region by " + target.name);
+        trace("forwarded to " + target.name);
     send(target);
 }
 
-// Whoever is turned away in the middle of a stream loses all of it, while places, and retries, come
-// free within tenths of a second. Callers that do not wait for it leave.
+// A stream that is rejected after it has started is lost as a whole, while slots and retries become
+// available within tenths of a second. Callers that don't wait for that disconnect.
 bool Dispatch::mayWaitForCapacity() const
 {
     const bool mayContinue
@@ -122,7 +124,7 @@
 
 void Dispatch::runAfterCapacityPause(std::function<void()> next)
 {
-    trace("waits for room to go on");
+    trace("waiting for capacity to resume the stream");
     m_triedTargets.clear();
     m_client.postAfter(capacityRetryInterval, std::move(next));
 }
@@ -167,8 +169,8 @@
     TransferLimits limits;
     limits.connect = std::min(connectTimeout, remaining());
     limits.total = remaining();
-    // An idempotent request does not wait its whole time for a connection that may have gone
-    // silent. A booking has nowhere else to go, so it waits.
+    // An idempotent request doesn't use all its time on a connection that may be broken. A booking
+    // that may have run must not be sent again, so it waits.
     const bool moveOn = m_exchange->service->idempotent && !target.isPeer;
     limits.firstByte = moveOn ? std::min(progressCheckInterval, limits.total) : limits.total;
     limits.idle = moveOn ? progressCheckInterval : limits.total;
@@ -191,15 +193,15 @@
         && decideRetry(retryQuestion(AttemptOutcome::silent, m_runs + 1, hasStarted && !canResume))
             == RetryDecision::retry
         && m_state.retries.canAcquire(m_exchange->customer->name, loadName(*m_exchange));
-    // A server that answers others may still answer this one; ended now, the request is lost for
-    // certain.
+    // The request cannot be sent elsewhere, so it would certainly fail if this attempt ended. A
+    // server that responds to other requests may still respond to this one.
     if (!mayMove)
         return !overdue || !unresponsive;
     if (unresponsive)
         return false;
-    // Elsewhere it begins anew, behind all that wait there already.
+    // Another server has to start from the beginning, after all requests that wait there already.
     const bool timeToMove = remaining() >= timeout / 2;
-    // A stream that pauses mostly goes on by itself, and one that nobody takes elsewhere is lost.
+    // A stream that pauses usually continues by itself, and is lost if no other server accepts it.
     const bool callerHasPart = hasStarted || m_streamStarted;
     const bool silent = !callerHasPart && isSilent(*target.counters, now);
     const double maxUtilization
@@ -208,8 +210,8 @@
     return !moves;
 }
 
-// Whether a server of the region, or another region, has so much room that it takes a request,
-// whatever other instances send it meanwhile.
+// Returns true if a server in this region, or another region, has enough capacity to accept a
+// request even if other instances send requests there at the same time.
 bool Dispatch::hasCapacityElsewhere(double maxUtilization) const
 {
     const auto table = m_state.routing.read();
@@ -379,7 +381,7 @@
 
 void Dispatch::onAttemptEnd(const Target &target, AttemptOutcome end, Attempt &attempt)
 {
-    // The caller already has part of a stream, so an answer that is none cannot follow it.
+    // The caller already has part of a stream, which a response of another kind cannot continue.
     if (end == AttemptOutcome::answered && m_streamStarted && !attempt.reader().isStreaming())
         end = AttemptOutcome::serverError;
     recordAttempt(target, end);
@@ -415,9 +417,9 @@
     failRequest(end);
 }
 
-// A server that cannot be reached may just have been killed by a copy of this very request, sent
-// through another instance. The pause lets the crash mark arrive, which a next attempt asks for;
-// without it the copy would go on to kill a third server.
+// A server that cannot be reached may just have crashed on a copy of this request that came through
+// another instance. The next attempt is delayed until the crash mark arrives, which it checks;
+// otherwise this copy could crash a third server.
 void Dispatch::routeAgain(AttemptOutcome end)
 {
     if (end != AttemptOutcome::notConnected)
@@ -438,10 +440,10 @@
     checkServerAlive(target);
 }
 
-// A connection can break without the server being lost. If the same run of the server still
-// answers, the request is not to blame and the mark is taken back. Another run under the same name,
-// started by whatever looks after the server, would look as sound and clear a request that kills it
-// each time.
+// A connection can break although the server still runs. If the same incarnation of the server
+// responds, the request did not crash it and the mark is removed. A response of a later
+// incarnation, started by a supervisor, must not remove it: that would clear a request that crashes
+// the server each time.
 void Dispatch::checkServerAlive(const Target &target)
 {
     m_client.postAfter(serverCheckDelay, [self = shared_from_this(), target] {
@@ -471,7 +473,8 @@
     input.outcome = end;
     input.idempotent = m_exchange->service->idempotent;
     input.callerHasSeenBytes = callerHasSeenBytes;
-    // Servers that refuse a stream which has to go on leave others to ask; its caller has a part.
+    // Once a stream has started, attempts that were refused don't count, so that other servers can
+    // be tried.
     input.attemptsMade = m_streamStarted ? runs : m_attempts;
     input.runsMade = m_exchange->earlierRuns + runs;
     input.maxRuns = m_exchange->service->maxAttempts;
@@ -485,23 +488,24 @@
     const RetryInput input = retryQuestion(end, m_runs, callerHasSeenBytes);
     if (decideRetry(input) != RetryDecision::retry || m_exchange->responder->closed())
         return false;
-    // Only the instance next to the backend servers repeats a request that was sent; one that
-    // forwarded it does so only where it reached nobody. Otherwise each would multiply the other's.
+    // Only the instance that sends to backend servers retries an attempt that may have run. An
+    // instance that forwarded the request retries only if it certainly did not run; otherwise the
+    // retries of both instances would multiply.
     const bool forwarded = m_forwardedToRegion;
     if (forwarded && !certainlyNotRun(end))
         return false;
-    // The trial of a suspect request is one attempt at one server, even if that is gone already.
-    // One that refused it lives, and has not tried it.
+    // The quarantine trial of a request is one attempt on one server, even if that server has
+    // crashed. A server that refused the request works and has not run it.
     if (m_isQuarantineTrial && end != AttemptOutcome::refusedNotRun)
         return false;
-    // Only the issuer of a key may send its booking; there is nowhere else to try.
+    // Only the instance that issued the key may send its booking.
     if (m_forwardedToIssuer)
         return false;
-    // An attempt that reached nobody cost no backend server anything, so it needs no budget.
+    // An attempt without a connection caused no load on a backend server and needs no retry budget.
     const bool costsNothing = end == AttemptOutcome::notConnected;
     if (!costsNothing
         && !m_state.retries.tryAcquire(m_exchange->customer->name, loadName(*m_exchange))) {
-        trace("no retry: budget spent");
+        trace("no retry: retry budget exhausted");
         return false;
     }
     m_state.metrics.onRetry();
@@ -509,8 +513,8 @@
     return true;
 }
 
-// Another region has no room after all; news of its load is half a second old. The request has run
-// nowhere, so home may still take it.
+// Returns true if another region has no capacity after all, because its reported load is up to
+// half a second old. The request did not run there, so the local region may still accept it.
 bool Dispatch::isRejectedByRemoteRegion(const Target &target, const Attempt &attempt) const
 {
     const ResultCode code = attempt.reader().resultCode();
@@ -527,7 +531,7 @@
 
 void Dispatch::returnToLocalRegion()
 {
-    trace("turned away there; stays in its region");
+    trace("rejected by the other region; staying in the local region");
     m_stayInRegion = true;
     m_forwardedToRegion = false;
     if (m_admitted)
--- a/src/entry/dispatch.h
+++ b/src/entry/dispatch.h
@@ -1,4 +1,4 @@
-// Carries one admitted request to a backend server or another region, and its answer back.
+// Dispatches one request to a backend server or another region, and its response to the caller.
 #pragma once
 
 #include <functional>
@@ -22,26 +22,26 @@
     EntryState &state;
     Control &control;
     const Protocol &protocol;
-    ClaimService *claimService = nullptr; // null where the protocol knows no booking keys
+    ClaimService *claimService = nullptr; // null if the protocol has no booking keys
 };
 
-// What the last choice of a target went by, for the line that is logged when the request is over.
+// The inputs of the last routing decision, for the log line of the finished request.
 struct RouteInputs
 {
     RegionLoad localLoad;
-    std::optional<RegionLoad> remoteLoad; // of the region chosen, if another one
-    double maxEventIntervalSeconds = 0; // between two events of a stream
-    double serverLoad = 0; // corrected, of the server chosen
-    double serverSlots = 0;
-    double serverDelay = 0; // seconds before a prompt sent now is read
-    double tokensPerMs = 0; // at which servers of its pool read; 0: not known
-    std::optional<Duration> reportAge; // of that server's last report; none: it never reported
-    std::optional<Duration> remainingColdTime; // how much longer that server was taken for cold
-    std::uint64_t listRevision = 0;
-    std::optional<Duration> listAge; // none: no list has been read
+    std::optional<RegionLoad> remoteLoad; // of the chosen region, if it is another one
+    double maxEventIntervalSeconds = 0; // highest acceptable between stream events; 0 if unknown
+    double serverLoad = 0; // of the chosen server, including what it has not yet reported
+    double serverSlots = 0; // of the chosen server; 0 if none was chosen
+    double serverDelay = 0; // seconds until the chosen server starts to read a prompt sent now
+    double tokensPerMs = 0; // prompt tokens that servers of its pool read per ms; 0 if unknown
+    std::optional<Duration> reportAge; // of its last report; empty if it never reported
+    std::optional<Duration> remainingColdTime; // of the chosen server; empty if it was not cold
+    std::uint64_t listRevision = 0; // of the list of servers
+    std::optional<Duration> listAge; // empty if no list has been read
 };
 
-// Lives until the request is over, on the loop of one HTTP client.
+// Handles one request until it is finished, on the event loop of one HTTP client.
 class Dispatch final : public std::enable_shared_from_this<Dispatch>
 {
 public:
@@ -52,7 +52,7 @@
 private:
     class Attempt;
 
-    // How the right to send a booking was taken.
+    // How the right to send a booking was acquired.
     enum class SendRight { none, notNeeded, issuedKey, claim };
 
     // Booking rights.
@@ -66,7 +66,7 @@
     void settleUnknown();
 
     // Choice of a target.
-    struct PlanAgain // and plan again then
+    struct PlanAgain // after this time
     {
         Duration time{};
         bool operator==(const PlanAgain &) const = default;
@@ -75,7 +75,8 @@
     Plan plan(bool admit);
     std::vector<Candidate> candidatesIn(const RoutingTable &table) const;
     double sharedReadSeconds(std::span<const Candidate> candidates) const;
-    // Leaves the candidates that may get a request now. False if there are none, but one may soon.
+    // Removes the candidates that may not get a request now. Returns false if none is left but one
+    // may become ready soon.
     bool keepReadyCandidates(const RoutingTable &table, std::vector<Candidate> &candidates) const;
     PossiblyColdServer possiblyColdServer(const RoutingTable &table, const ServerView &view) const;
     std::optional<std::size_t> possiblyColdShareOf(const RoutingTable &table,
@@ -92,8 +93,8 @@
 
     // Attempts.
     void route();
-    // For a stream that has to go on, where nobody takes it now, or no retry is left. True if it
-    // will be tried again.
+    // Schedule another attempt for a stream that has started and has to be resumed, if no server
+    // accepts it now or no retry is left. Return true if there will be one.
     bool waitForCapacity(const Refusal &refusal);
     bool waitForRetry(AttemptOutcome end);
     bool mayWaitForCapacity() const;
@@ -101,15 +102,15 @@
     void send(const Target &target);
     bool checkQuarantine();
     OutgoingRequest makeRequest(const Target &target) const;
-    // What the attempt under way reports.
+    // Called by the current attempt.
     void onServerResponse(const Target &target, const ResponseReader &reader);
     void writeToCaller(const HttpResponse &answer, std::string data);
     void onCallerLeft();
-    // What the server still has to read of the prompt, as far as it can be known.
+    // Returns the prompt tokens that the server has to read if it has the shared ones cached.
     std::int64_t tokensToRead() const;
     void recordFirstByte(const Target &target);
-    // Whether an attempt without a byte since `lastReceivedAt` may still come to something better
-    // than what another server would give.
+    // Returns true if waiting on for an attempt that has received nothing since `lastReceivedAt`
+    // is better than trying another server.
     bool shouldKeepWaiting(const Target &target, const ResponseReader &reader,
                            TimePoint lastReceivedAt) const;
     bool hasCapacityElsewhere(double maxUtilization) const;
@@ -128,7 +129,7 @@
     void reply(HttpResponse answer, ResultCode code);
     void abortStream(AttemptOutcome end);
 
-    // The end.
+    // End of the request.
     void failRequest(AttemptOutcome end);
     void refuse(const Refusal &refusal);
     void finish(ResultCode code);
@@ -147,30 +148,32 @@
     HttpClient &m_client;
 
     SendRight m_sendRight = SendRight::none;
-    std::uint64_t m_claimAttempt = 0;
+    std::uint64_t m_claimAttempt
+        = 0; // identifies this request's claim // identifies this request's claim
     std::string m_claimPage;
     std::string m_claimId;
-    double m_admissionDraw; // of this request, for admission
+    double m_admissionDraw; // random number in [0, 1) for the admission of this request
     bool m_admitted = false;
-    bool m_forwardedToIssuer = false;
-    // True once an attempt ended without certainty that it did not run. From then on no answer may
-    // say "not run".
+    bool m_forwardedToIssuer = false; // of the booking's key
+    // True once an attempt may have run and ended without a response. From then on the caller must
+    // not be told "not run".
     bool m_mayHaveRun = false;
     bool m_isQuarantineTrial = false;
-    bool m_forwardedToRegion = false;
-    bool m_stayInRegion = false; // another region had no room
-    int m_statusCheckWaits = 0; // for a server that may get the request
+    bool m_forwardedToRegion = false; // an attempt went to another region that did not reject it
+    bool m_stayInRegion = false; // another region rejected the request
+    int m_statusCheckWaits = 0; // times that the request waited for checks of possibly cold servers
     int m_attempts = 0;
     int m_runs = 0; // attempts that may have run
     std::weak_ptr<Attempt> m_currentAttempt;
-    bool m_callerLeft = false;
-    std::uint32_t m_recoveryEpoch = 0; // of the server of the attempt under way (silence.h)
-    bool m_streamRecorded = false; // counted at that server
-    bool m_awaitingFirstToken = false; // counted at the server of the attempt under way
-    bool m_streamStarted = false; // the caller has the head of a stream
-    // A whole failure answer of a backend server, for the caller if nothing better comes.
+    bool m_callerLeft = false; // the caller closed its connection
+    std::uint32_t m_recoveryEpoch = 0; // of the current attempt's server (silence.h)
+    bool m_streamRecorded = false; // whether that server's counters include the stream
+    bool m_awaitingFirstToken = false; // whether that server's counters include the prompt
+    bool m_streamStarted = false; // the status and headers of a stream were sent to the caller
+    // A complete error response of a backend server, sent to the caller if no attempt succeeds.
     std::optional<HttpResponse> m_serverError;
-    std::set<std::string> m_triedTargets;
+    std::set<std::string>
+        m_triedTargets; // names of servers and peers // names of servers and peers
     std::string m_servedBy;
     TimePoint m_attemptStartedAt{};
     double m_cost = 0;
--- a/src/entry/exchange.h
+++ b/src/entry/exchange.h
@@ -1,4 +1,4 @@
-// One caller's request while this instance serves it.
+// A caller's request while this instance handles it, with everything that is known of it.
 #pragma once
 
 #include <memory>
@@ -15,7 +15,8 @@
 
 namespace ibisnotch {
 
-// A part of a prompt that other requests may share. The last part of a prompt is its own.
+// A part of a prompt. Requests whose parts have the same hashes share them. The last part of a
+// prompt is specific to its request.
 struct PromptPart
 {
     std::uint64_t hash = 0;
@@ -26,10 +27,10 @@
 struct Prompt
 {
     std::vector<PromptPart> parts; // in the order in which a server reads them
-    std::int64_t tokens = 0;
-    std::int64_t maxAnswerTokens = 0; // at most
+    std::int64_t tokens = 0; // 0 if the request has no prompt or doesn't say
+    std::int64_t maxAnswerTokens = 0; // 0 if unknown
 
-    // All parts but the last, which is the request's own.
+    // Returns the tokens of all parts but the last, which is specific to the request.
     std::int64_t sharedTokens() const
     {
         std::int64_t shared = 0;
@@ -49,31 +50,31 @@
     std::string id;
     TimePoint arrived;
     TimePoint deadline;
-    ForwardPath path; // before this instance
-    // A booking whose right to send was taken by the instance that handed it on.
+    ForwardPath path; // the instances that forwarded the request to this one
+    // Whether the right to send a booking was acquired by the instance that forwarded it.
     bool sendRightAcquired = false;
 
     std::shared_ptr<const RoutingTable> table;
-    const Customer *customer = nullptr; // of the table's configuration
-    const Service *service = nullptr;
-    std::string apiKey; // as the caller showed it
-    std::optional<std::string> forwardedCustomer; // as a peer told it
-    int earlierRuns = 0; // attempts that may have run before a peer handed the request on
-    std::string host; // for services chosen by host and path
-    std::optional<Duration> callerTimeout; // as the caller gave it
+    const Customer *customer = nullptr; // points into the table's configuration
+    const Service *service = nullptr; // points into the table's configuration
+    std::string apiKey; // as sent by the caller
+    std::optional<std::string> forwardedCustomer; // name of the customer, as sent by a peer
+    int earlierRuns = 0; // attempts of peers that may have run before they forwarded the request
+    std::string host; // the Host header, for services selected by host and path
+    std::optional<Duration> callerTimeout; // the timeout that the caller requested
     Prompt prompt;
     int priority = 0; // 0 is most urgent
     std::optional<int> urgency; // for servers that order their queue; 0 is most urgent
-    double usageCounted = 0; // against the customer's usage cap
-    std::string pool; // of the service's pools, drawn once for all attempts
+    double usageCounted = 0; // amount counted against the customer's usage cap
+    std::string pool; // selected once for all attempts; empty if the service has no pools
     bool streaming = false;
-    std::string lastEventId; // of a resumed stream: the last one that its caller has
-    std::vector<std::string> allowedRegions;
+    std::string lastEventId; // the last event that the caller has received; empty if none
+    std::vector<std::string> allowedRegions; // by the residency rules
     std::optional<BookingKey> bookingKey;
     std::string bookingKeyText;
     std::string bodyHash;
-    std::string fingerprint;
-    std::uint64_t prefixHash = 0;
+    std::string fingerprint; // identifies copies of the same request, for the quarantine
+    std::uint64_t prefixHash = 0; // of the prompt's shared part; 0 if it shares too little
 
     Trace trace;
 
@@ -83,24 +84,25 @@
 
 using ExchangePtr = std::shared_ptr<Exchange>;
 
-// What load counts and retry budgets go by: the pool, or the service where there are no pools.
+// Returns the name under which load and retry budgets are counted: the pool, or the service if it
+// has no pools.
 inline const std::string &loadName(const Exchange &exchange)
 {
     return exchange.pool.empty() ? exchange.service->name : exchange.pool;
 }
 
-// What a caller is told in place of an answer.
+// The reason why a request gets no response from a backend server.
 struct Refusal
 {
     ResultCode code = ResultCode::malformedRequest;
     std::string detail;
-    Duration retryAfter{};
+    Duration retryAfter{}; // 0 if the caller should not retry
     bool operator==(const Refusal &) const = default;
 };
 
 void addTraceStep(Exchange &exchange, const Clock &clock, std::string description);
 
-// Headers that every answer carries.
+// Returns the headers that every response carries.
 Headers resultHeaders(const std::string &requestId, ResultCode code, const std::string &servedBy);
 
 HttpResponse refusalResponse(const std::string &requestId, const Refusal &refusal,
--- a/src/entry/filters.cc
+++ b/src/entry/filters.cc
@@ -15,7 +15,8 @@
 
 namespace {
 
-// Loops between gateways, and forged paths: callers may not send one.
+// Parses the forward path of a peer's request and refuses loops. Ignores the path of a caller's
+// request, which may be forged.
 class ForwardPathFilter final : public Filter
 {
 public:
@@ -192,7 +193,7 @@
     EntryState &m_state;
 };
 
-// The sender checked too. This check holds when the sender had another version of the rules.
+// The forwarding instance checks residency as well, but may have another version of the rules.
 class ResidencyFilter final : public Filter
 {
 public:
@@ -221,7 +222,8 @@
 
     std::optional<Refusal> apply(Exchange &exchange) override
     {
-        // A booking is asked for after its key, which may have an outcome; see Dispatch::send().
+        // A booking is checked after its key, which may already have an outcome; see
+        // Dispatch::send().
         if (exchange.isBooking())
             return std::nullopt;
         const std::lock_guard lock(m_state.quarantineMutex);
@@ -310,7 +312,8 @@
     }
 
 private:
-    // Only the instance that took the right to send may pass it on, and only by the peers' port.
+    // Only the instance that acquired the right to send may transfer it, and only to the peers'
+    // port.
     static bool isSendRightAcquired(const Exchange &exchange)
     {
         const auto by = exchange.request.headers.get("X-Ibisnotch-Cleared-By");
@@ -332,8 +335,8 @@
     return std::string(token);
 }
 
-// A key, or a customer that a peer names, may be newer than what this instance has read; refused
-// for good, its caller would not come back with it.
+// A key, or a customer that a peer names, may be newer than this instance's configuration. The
+// refusal is then temporary, because a caller doesn't retry after a permanent one.
 Refusal unknownCustomerRefusal(EntryState &state, const Exchange &exchange)
 {
     const bool mayBeOld = state.clock.now() > state.configSureUntil.load();
--- a/src/entry/gateway.cc
+++ b/src/entry/gateway.cc
@@ -10,7 +10,7 @@
 namespace {
 
 constexpr std::size_t maxRequestIdLength = 64;
-// Another instance serves the caller as soon as it asks there.
+// Another instance accepts the request at once.
 constexpr Duration retryOtherInstanceAfter = std::chrono::milliseconds(50);
 
 } // namespace
@@ -24,18 +24,20 @@
 
 void Gateway::handle(HttpRequest request, std::shared_ptr<Responder> responder)
 {
-    // An exception that left a handler would close the connection without a result code.
+    // An exception that leaves this function would close the connection without a result code.
     try {
         if (m_services.protocol.needsBackendServer(request, m_forPeers))
             serve(std::move(request), std::move(responder));
         else
             responder->reply(m_pages.answer(request));
     } catch (const std::exception &error) {
-        logLine(LogPart::entry, LogLevel::error, "Handler failed.", {{"error", error.what()}});
+        logLine(LogPart::entry, LogLevel::error, "Request handler threw an exception.",
+                {{"error", error.what()}});
     }
 }
 
-// A forwarded request keeps its id, so that its steps can be found on both instances.
+// Returns the id of a forwarded request, so that its trace can be found on both instances, or a new
+// id.
 std::string Gateway::requestId(const HttpRequest &request)
 {
     const std::string given = m_services.protocol.requestId(request, m_forPeers);
--- a/src/entry/gateway.h
+++ b/src/entry/gateway.h
@@ -1,4 +1,4 @@
-// Takes HTTP requests of callers, peers and operators, and answers or dispatches them.
+// Handles the HTTP requests of callers, peers and operators.
 #pragma once
 
 #include <atomic>
@@ -13,7 +13,7 @@
 
 namespace ibisnotch {
 
-// Answers what needs no backend server.
+// Serves the pages that need no backend server.
 class PageHandler
 {
 public:
@@ -21,7 +21,8 @@
     virtual HttpResponse answer(const HttpRequest &request) = 0;
 };
 
-// One for the callers' port and one for the peers' port, which operators use too.
+// Serves pages, and checks and dispatches requests. An instance has one gateway for the callers'
+// port and one for the peers' port, which operators use as well.
 class Gateway final : public RequestHandler
 {
 public:
--- a/src/entry/health-check.cc
+++ b/src/entry/health-check.cc
@@ -4,16 +4,16 @@
 
 namespace {
 
-// Servers of the region answer a check in a millisecond, or wait for a slot.
+// Servers in the region respond to a health check within a millisecond, unless it waits for a slot.
 constexpr Duration healthCheckTimeout = std::chrono::milliseconds(400);
 
-// A server that lives tells its state in some ten.
+// A working server responds to a status query in about 10 ms.
 constexpr Duration statusQueryTimeout = std::chrono::milliseconds(300);
 
 OutgoingRequest withTimeout(OutgoingRequest request, Duration limit)
 {
     request.limits = {limit, limit, limit, limit};
-    // A kept connection may have fallen silent by itself.
+    // A reused connection may be broken although the server works.
     request.freshConnection = true;
     return request;
 }
--- a/src/entry/health-check.h
+++ b/src/entry/health-check.h
@@ -1,4 +1,4 @@
-// Asks a backend server itself whether it lives.
+// Health checks of backend servers in the same region.
 #pragma once
 
 #include "ibisnotch/http-client.h"
@@ -7,11 +7,12 @@
 
 namespace ibisnotch {
 
-// With the limits that suit a server of the region. A configuration must be in force.
+// Makes a health check with a timeout for servers in the same region. A configuration must be in
+// force.
 OutgoingRequest makeRegionHealthCheck(const EntryState &state, const Protocol &protocol,
                                       const BackendServer &server);
 
-// Whether the server answers at all.
+// Makes a status query, which the server also answers while all its slots are in use.
 OutgoingRequest makeRegionStatusQuery(const Protocol &protocol, const BackendServer &server);
 
 } // namespace ibisnotch
--- a/src/entry/interfaces.h
+++ b/src/entry/interfaces.h
@@ -1,4 +1,4 @@
-// The outer interfaces of an instance, as its parts are built from them.
+// The factory for the parts of an instance that depend on its callers, servers and store.
 #pragma once
 
 #include <memory>
@@ -15,14 +15,15 @@
 
 namespace ibisnotch {
 
-// A port for pages only.
+// A port that serves only pages.
 struct PagePort
 {
     Address address;
     std::unique_ptr<PageHandler> pages;
 };
 
-// Built before anything else, used once.
+// Creates the protocol-specific parts of one instance. Each function is called when the instance
+// is built.
 class InterfaceFactory
 {
 public:
@@ -32,18 +33,18 @@
     virtual std::unique_ptr<StateSource> stateSource(EntryState &state, Control &control,
                                                      HttpClient &client)
         = 0;
-    // Null where callers bring no booking keys.
+    // Returns null if the protocol has no booking keys.
     virtual std::unique_ptr<ClaimService> claimService(EntryState &state, HttpClient &client) = 0;
-    // Null where nobody gives placement orders. Starts at once.
+    // Returns a controller that is already started, or null if placements are not managed here.
     virtual std::unique_ptr<PlacementController> placementController(EntryState &state,
                                                                      HttpClient &client)
         = 0;
-    // For the callers' and the peers' port.
+    // Returns the pages of the callers' or the peers' port.
     virtual std::unique_ptr<PageHandler> pages(DispatchServices services, bool forPeers) = 0;
     virtual std::vector<PagePort> pagePorts(DispatchServices services) = 0;
 };
 
-// The product's own.
+// Returns the factory for the chat protocol with a Consul store.
 std::unique_ptr<InterfaceFactory> makeBuiltInInterfaces(const ProcessSettings &settings);
 
 } // namespace ibisnotch
--- a/src/entry/path-rule-filters.cc
+++ b/src/entry/path-rule-filters.cc
@@ -1,4 +1,4 @@
-// Checks of interfaces that choose a service by host and path.
+// Filters of protocols that select a service by host and path.
 #include <algorithm>
 
 #include "filters.h"
@@ -8,8 +8,8 @@
 
 namespace {
 
-// Tokens; a model engine reads them in about 25 ms, less than what it costs to crowd the requests
-// that share them on one server.
+// A model engine reads this many tokens in about 25 ms. Reading them again costs less than sending
+// all requests that share them to one server.
 constexpr std::int64_t minSharedTokens = 1000;
 
 class PathRuleFilter final : public Filter
@@ -43,7 +43,7 @@
     }
 
 private:
-    // Null if the key is unknown, or there is none and the service is not open to all.
+    // Returns null if the key is unknown, or if there is none and the service requires one.
     static const Customer *customerOf(const Exchange &exchange)
     {
         const FleetConfig &config = exchange.config();
@@ -62,9 +62,9 @@
         return owner;
     }
 
-    // Engines admit the most urgent prompts first, so that the short ones of an urgent service do
-    // not wait behind the long ones of another: credit of the worst seconds of a peak 0.48 to 0.53.
-    // Engines know 10 steps and take 5 if none is given.
+    // Engines admit the most urgent prompts first, so that short prompts of an urgent service don't
+    // wait behind long prompts of another one. This raises the credit of the worst seconds of a
+    // peak from 0.48 to 0.53. Engines have 10 levels of urgency and use 5 by default.
     static int urgencyOf(const Exchange &exchange)
     {
         constexpr int mostUrgent = 3;
@@ -76,7 +76,8 @@
         return std::min(leastUrgent, urgency);
     }
 
-    // Of all parts but the last, which is the request's own; 0 if it shares too little.
+    // Returns the hash of all parts but the last, which is specific to the request; 0 if they have
+    // too few tokens.
     static std::uint64_t hashSharedParts(const Prompt &prompt)
     {
         if (prompt.sharedTokens() < minSharedTokens)
--- a/src/entry/placement-controller.cc
+++ b/src/entry/placement-controller.cc
@@ -51,7 +51,7 @@
     const auto config = m_state.gate.config();
     if (!config || m_state.stopping)
         return false;
-    // One member of the region tries for the lease, so that the others cost the store nothing.
+    // Only one member of the region tries to acquire the lease, to save store requests.
     const auto members = m_state.members.read();
     const bool first
         = members && std::none_of(members->begin(), members->end(), [this](const Member &member) {
@@ -89,7 +89,8 @@
 {
     m_acquiring = true;
     m_lease = {};
-    // Counted from before the call: the store's own count starts later, so ours ends first.
+    // The duration is counted from before the call. The store starts to count later, so the lease
+    // ends here before it ends in the store.
     const TimePoint requestedAt = m_state.clock.now();
     m_store.grantLease(leaseDuration, [this, requestedAt](const StoreLease &lease) {
         if (lease.end != StoreEnd::ok)
@@ -124,14 +125,13 @@
     (void)absl::SimpleAtoi(read.value, &last);
     m_store.compareAndSet(fenceKey(), read.index, std::to_string(last + 1),
                           [this, last, requestedAt](const StoreWrite &write) {
-                              // After a lost answer the number may be taken; the next try takes the
-                              // one after it.
+                              // If the response was lost, the number may be in use already; the
+                              // next attempt uses the following one.
                               if (write.end != StoreEnd::ok)
                                   return abandonLease();
                               m_acquiring = false;
                               m_lease = {last + 1, requestedAt + leaseDuration};
-                              logLine(LogPart::control, LogLevel::info,
-                                      "Holds the placement lease.",
+                              logLine(LogPart::control, LogLevel::info, "Placement lease acquired.",
                                       {{"fence", std::to_string(last + 1)}});
                           });
 }
@@ -207,7 +207,7 @@
         {"role", order.placement.role},
         {"fence",
          order.fence}}.dump();
-    logLine(LogPart::control, LogLevel::info, "Placement order.",
+    logLine(LogPart::control, LogLevel::info, "Placement order sent.",
             {{"server", order.server},
              {"model", order.placement.model},
              {"version", order.placement.version},
--- a/src/entry/placement-controller.h
+++ b/src/entry/placement-controller.h
@@ -1,4 +1,4 @@
-// Gives the region's placement orders while this instance holds the lease for it.
+// Sends the region's placement orders while this instance holds the region's placement lease.
 #pragma once
 
 #include <map>
@@ -11,7 +11,7 @@
 
 namespace ibisnotch {
 
-// Everything happens on the loop of one HTTP client. Silent where no engine has a placement.
+// Runs on the event loop of one HTTP client. Sends nothing if no engine has a placement.
 class PlacementController
 {
 public:
--- a/src/entry/protocol.h
+++ b/src/entry/protocol.h
@@ -1,5 +1,5 @@
-// The outer interfaces as the pipe sees them: how callers ask and are answered, and how backend
-// servers are asked and answer. The pipe itself works on typed values only.
+// The wire protocols towards callers, backend servers and peer instances. Everything between them
+// works on typed values only.
 #pragma once
 
 #include <memory>
@@ -15,19 +15,21 @@
 
 namespace ibisnotch {
 
-// Where one attempt goes.
+// The destination of one attempt.
 struct Target
 {
-    bool isPeer = false; // to an entry instance, in this region or another
-    std::string name; // of the backend server or the entry instance
+    bool isPeer = false; // an entry instance, in this region or another; else a backend server
+    std::string name;
     std::string region;
     std::string address;
     double cost = 0;
-    std::shared_ptr<ServerCounters> counters; // backend servers only
-    bool trial = false; // of an ejected server
-    std::uint64_t incarnation = 0; // of a backend server, as last reported
+    std::shared_ptr<ServerCounters> counters; // null for a peer
+    bool trial = false; // whether the attempt tests an ejected server
+    std::uint64_t incarnation = 0; // as last reported by the backend server; 0 for a peer
 };
 
+// The load that a backend server reports in a response.
+// The load that a backend server reports in a response.
 struct ResponseLoad
 {
     std::uint32_t running = 0;
@@ -35,59 +37,65 @@
     bool operator==(const ResponseLoad &) const = default;
 };
 
-// Takes one answer as it arrives and tells what it proves.
+// Parses one response as it arrives and decides how the attempt ended.
 class ResponseReader
 {
 public:
     virtual ~ResponseReader() = default;
 
-    // How the attempt ended, where the head or a piece already decides it; the transfer then stops.
+    // Returns how the attempt ended if the status and headers already decide it; the transfer then
+    // stops.
     virtual std::optional<AttemptOutcome> onHead(int status, const Headers &headers) = 0;
-    // Appends to `out` what may be passed on.
+    // Appends to `out` what may be sent to the caller. Returns how the attempt ended if this data
+    // decides it; the transfer then stops.
     virtual std::optional<AttemptOutcome> onData(std::string_view data, std::string &out) = 0;
 
-    // After the last byte of a transfer that ended as it should.
+    // Returns how the attempt ended. Called after the last byte of a complete transfer.
     virtual AttemptOutcome attemptEnd() const = 0;
 
-    // True if pieces go to the caller as they come; known once the head is.
+    // Returns true if data goes to the caller as it arrives. Known after onHead().
     virtual bool isStreaming() const = 0;
-    // The number of the last event passed on, for a stream that may go on elsewhere; else empty.
+    // Returns the id of the last event passed on, from which another server can resume the stream.
+    // Empty if the response is not a resumable stream.
     virtual std::string lastEventId() const { return {}; }
-    // Events of a stream passed on so far.
+    // Returns the number of stream events passed on so far.
     virtual int eventCount() const { return 0; }
-    // What a peer said of the request; served for a backend server.
+    // Returns the result code that a peer reported; always `served` for a backend server.
     virtual ResultCode resultCode() const { return ResultCode::served; }
-    // The server says that it is leaving.
+    // Returns true if the server reports that it is draining.
     virtual bool isServerLeaving() const { return false; }
     virtual std::optional<ResponseLoad> reportedLoad() const { return std::nullopt; }
 };
 
-// One outer interface. Stateless and thread safe.
+// One wire protocol. Stateless and thread safe.
 class Protocol
 {
 public:
     virtual ~Protocol() = default;
 
-    // The checks that read a caller's request into the typed values of an exchange, in order.
+    // Returns the filters that parse and check a request, in the order in which they apply.
     virtual std::vector<std::unique_ptr<Filter>> filters(EntryState &state) const = 0;
 
-    // False for a page, which needs no backend server.
+    // Returns false for pages, which the instance serves by itself.
     virtual bool needsBackendServer(const HttpRequest &request, bool fromPeer) const = 0;
 
-    // The request's id as it came; empty if this instance shall name the request.
+    // Returns the id that the request carries; empty if this instance has to create one.
     virtual std::string requestId(const HttpRequest &request, bool fromPeer) const = 0;
 
+    // Returns the response to a request that this instance refuses.
+    // Returns the response to a request that this instance refuses.
     virtual HttpResponse makeRefusal(const Exchange &exchange, const Refusal &refusal,
                                      const std::string &servedBy) const = 0;
-    // The head of an answer that a backend server or a peer gave.
+    // Returns the headers to send to the caller with a response that a backend server or a peer
+    // sent with the headers `given`.
     virtual Headers makeResponseHeaders(const Exchange &exchange, ResultCode code,
                                         const Headers &given,
                                         const std::string &servedBy) const = 0;
-    // What a stream that breaks off tells its caller as its last event; empty for nothing.
+    // Returns the last event of a stream that is aborted; empty if the protocol has none.
     virtual std::string makeStreamError(const Exchange &exchange, ResultCode code,
                                         const std::string &servedBy) const = 0;
 
-    // Limits and forwarding headers are the caller's to add.
+    // Make the request of one attempt. The caller adds limits and forwarding headers.
     virtual OutgoingRequest makeServerRequest(const Exchange &exchange, const Target &target,
                                               Duration remaining) const = 0;
     virtual OutgoingRequest makePeerRequest(const Exchange &exchange, const Target &target,
@@ -95,21 +103,23 @@
     virtual std::unique_ptr<ResponseReader> makeReader(const Exchange &exchange,
                                                        bool fromPeer) const = 0;
 
-    // Asks a backend server whether it lives.
+    // Makes a request that checks whether a backend server works.
     virtual OutgoingRequest makeHealthCheck(const FleetConfig &config,
                                             const BackendServer &server) const = 0;
-    // Asks it the same, and gets an answer also where all its slots are taken.
+    // Makes a health check that the server also answers while all its slots are in use.
     virtual OutgoingRequest makeStatusQuery(const BackendServer &server) const = 0;
-    // Whether the answer to a health check shows the very run of the server that the target
-    // names.
+    // Returns true if the response to a health check comes from the server process that `target`
+    // names, not from one that was started later.
     virtual bool isSameIncarnation(const Target &target, const WholeAnswer &answer) const = 0;
-    // How much longer the server is cold, by that answer.
+    // Returns how much longer the server is cold according to that response; empty if it is warm
+    // or the response doesn't say so.
     virtual std::optional<Duration> remainingColdTime(const WholeAnswer &) const
     {
         return std::nullopt;
     }
 
-    // A whole failure answer of a backend server reaches the caller as it is.
+    // Returns true if a complete error response of a backend server is sent to the caller
+    // unchanged.
     virtual bool passesServerErrors() const = 0;
 };
 
--- a/src/entry/silent-server-monitor.cc
+++ b/src/entry/silent-server-monitor.cc
@@ -8,13 +8,14 @@
 
 namespace {
 
-// A loop that stood still this long has not read what servers sent meanwhile.
+// If two ticks are further apart than this, the event loop was stalled and has not yet read what
+// servers sent meanwhile. Silence is then ignored for a while.
 constexpr Duration stallThreshold = std::chrono::milliseconds(400);
 constexpr Duration ignoreAfterStall = std::chrono::milliseconds(500);
-// If no server at all was heard within this, it is this instance that hears nothing.
+// If nothing arrives from any server for this long, the fault is on this instance's side.
 constexpr Duration instanceCutOffAfter = std::chrono::milliseconds(300);
-// A server that is back is in use again after half of this in the mean; a check is counted by the
-// platform.
+// On average a recovered server is in use again after half of this period. The platform counts
+// every health check.
 constexpr Duration checkPeriod = std::chrono::milliseconds(500);
 
 std::string timeSinceReceived(const ServerCounters &counters, TimePoint now)
@@ -96,18 +97,18 @@
     const TimePoint now = m_state.clock.now();
     m_silent.erase(name);
     m_state.servers.onRecovered(serverId(name), now);
-    logLine(LogPart::load, LogLevel::info, "Backend server heard again.",
+    logLine(LogPart::load, LogLevel::info, "Backend server responds again.",
             {{"server", name}, {"source", std::string(source)}});
 }
 
-// Taken back without a word that it sent to a request of this instance.
+// Restores a server that has not yet responded to a request of this instance.
 void SilentServerMonitor::restoreWithoutResponse(const ServerView &view, std::string_view source)
 {
     recordRecovered(*view.counters, m_state.clock.now());
     restore(view.server.name, source);
 }
 
-// Servers that have left the table, and those of which an answer came after all.
+// Removes servers that are no longer in the table, and restores those that have sent data since.
 void SilentServerMonitor::removeEnded(const RoutingTable &table, std::vector<SilenceUpdate> &news)
 {
     std::vector<std::string> responding;
@@ -137,7 +138,8 @@
         const bool known = m_silent.count(view.server.name) > 0;
         if (!news.silent && known)
             return restoreWithoutResponse(view, "peer");
-        // Own evidence goes first: the server may be cut off from the other instance alone.
+        // What this instance received itself takes precedence: the server may be unreachable from
+        // the other instance only.
         if (news.silent && !known && !receivedWithin(*view.counters, instanceCutOffAfter, now))
             markSilent(view, "peer");
         return;
@@ -164,7 +166,7 @@
     recordHealthCheck(*view.counters, answered, m_state.clock.now());
     if (answered)
         return;
-    logLine(LogPart::load, LogLevel::info, "Backend server did not answer.",
+    logLine(LogPart::load, LogLevel::info, "Backend server did not respond to a status check.",
             {{"server", view.server.name},
              {"streaming", std::to_string(view.counters->awaitedStreams)},
              {"heardMsAgo", timeSinceReceived(*view.counters, m_state.clock.now())}});
--- a/src/entry/silent-server-monitor.h
+++ b/src/entry/silent-server-monitor.h
@@ -1,4 +1,4 @@
-// Takes silent backend servers out of use for the region, and back in once they are heard.
+// Takes silent backend servers out of use in the region, and restores them once they respond.
 #pragma once
 
 #include <map>
@@ -12,25 +12,29 @@
 
 namespace ibisnotch {
 
-// On the control loop only.
+// Not thread safe; used on the control loop only.
 class SilentServerMonitor
 {
 public:
     SilentServerMonitor(EntryState &state, const Protocol &protocol);
 
-    // Several times a second. Returns what the region's other instances have to hear.
+    // Detects silent servers. Called several times a second. Returns the updates for the region's
+    // other instances.
     std::vector<SilenceUpdate> tick();
-    // From another instance of the region.
+    // Applies an update from another instance of the region.
     void onUpdate(const SilenceUpdate &news);
 
-    // Silent servers to ask now whether they live, before what runs there is ended.
+    // Returns the silent servers that need a status check now. One is made before the requests
+    // running there are aborted.
     std::vector<ServerView> dueForStatusCheck();
-    // An answer of any kind shows that such a server lives.
+    // Records the result of a status check. A response of any kind shows that the server works.
     void onStatusCheckEnded(const ServerView &view, const WholeAnswer &answer);
 
-    // Servers to ask whether they live again, now. The caller says which are its to ask.
+    // Returns the servers taken out of use that need a health check now. The caller checks only
+    // those that it is responsible for.
     std::vector<ServerView> dueForHealthCheck();
-    // The answer to a health check of such a server.
+    // Evaluates the response to a health check. Returns the updates for the region's other
+    // instances.
     std::vector<SilenceUpdate> onHealthCheckEnded(const ServerView &view,
                                                   const WholeAnswer &answer);
 
@@ -38,7 +42,7 @@
     struct SilentServer
     {
         TimePoint since;
-        TimePoint nextCheck;
+        TimePoint nextCheck; // health check
     };
 
     bool isAfterStall(TimePoint now);
@@ -49,9 +53,9 @@
 
     EntryState &m_state;
     const Protocol &m_protocol;
-    TimePoint m_lastTick{};
+    TimePoint m_lastTick{}; // TimePoint{} before the first tick
     TimePoint m_ignoreUntil{};
-    std::map<std::string, SilentServer> m_silent;
+    std::map<std::string, SilentServer> m_silent; // by server name
 };
 
 } // namespace ibisnotch
--- a/src/entry/trace.h
+++ b/src/entry/trace.h
@@ -1,4 +1,4 @@
-// What happened to the latest requests, for operators.
+// Traces of the latest requests, shown to operators.
 #pragma once
 
 #include <deque>
@@ -12,7 +12,7 @@
 
 struct TraceStep
 {
-    long long atMs = 0; // since the request arrived
+    long long atMs = 0; // milliseconds since the request arrived
     std::string description;
     bool operator==(const TraceStep &) const = default;
 };
@@ -23,12 +23,13 @@
     std::string customer;
     std::string service;
     int resultCode = 0;
-    long long startedMs = 0; // wall time
+    long long startedMs = 0; // wall time, milliseconds since the epoch
     std::vector<TraceStep> steps;
     bool operator==(const Trace &) const = default;
 };
 
-// The latest traces of this instance, oldest dropped first. Holds no request text. Thread safe.
+// Keeps the latest traces of this instance and drops the oldest first. Traces contain no request
+// text. Thread safe.
 class RecentTraces
 {
 public:
