--- a/test/answers-fleet-test.cc
+++ b/test/answers-fleet-test.cc
@@ -79,7 +79,7 @@
 
 } // namespace
 
-TEST_CASE_METHOD(AnswersFixture, "answer_ofAHealthyEngine_isWholeAndNamed")
+TEST_CASE_METHOD(AnswersFixture, "response_ofAHealthyEngine_isCompleteAndIdentified")
 {
     bool done = false;
     const Reply streamed = fleet.chat("a1", true, 12);
@@ -106,7 +106,7 @@
 // What the caller sees: its whole answer. In what order: one engine hangs, crosses answers, cuts
 // them, closes, refuses or fails. Why: nothing is passed on before it is known to be ours, so the
 // request can go to another engine.
-TEST_CASE_METHOD(AnswersFixture, "answer_oneBadEngine_comesWholeFromAnother")
+TEST_CASE_METHOD(AnswersFixture, "response_oneFaultyEngine_comesCompleteFromAnother")
 {
     for (const char *mode : {"hang", "cross", "truncate", "drop", "refuse", "error"}) {
         INFO(mode);
@@ -126,7 +126,7 @@
 // What the caller sees: never a short or foreign answer that looks whole. In what order: all
 // engines fail in the same way, some after the first tokens were passed on. Why: a stream that was
 // cut ends with an error event and without the last chunk.
-TEST_CASE_METHOD(AnswersFixture, "answer_allEnginesBad_neverLooksWhole")
+TEST_CASE_METHOD(AnswersFixture, "response_allEnginesFaulty_neverLooksComplete")
 {
     for (const char *mode : {"cross", "truncate", "drop", "silent", "error"}) {
         // A fresh instance: one that had ejected all engines by now would refuse, truly, with "not
@@ -153,7 +153,7 @@
     }
 }
 
-TEST_CASE_METHOD(AnswersFixture, "refusal_allEnginesRefuse_saysNotRunAndWhenToComeBack")
+TEST_CASE_METHOD(AnswersFixture, "refusal_allEnginesRefuse_reportsNotRunAndRetryAfter")
 {
     allModels("refuse");
     const Reply reply = fleet.chat("a1", false);
@@ -163,7 +163,7 @@
 
 // What the caller sees: "unknown", not "not run". In what order: the first engine takes the request
 // and breaks off, the others refuse it. Why: a refusal is true of the whole request or not given.
-TEST_CASE_METHOD(AnswersFixture, "refusal_afterAnAttemptThatMayHaveRun_neverSaysNotRun")
+TEST_CASE_METHOD(AnswersFixture, "refusal_afterAnAttemptThatMayHaveRun_neverReportsNotRun")
 {
     allModels("refuse");
     for (const char *name : {"a-m1", "a-m2", "a-m3"})
@@ -173,7 +173,7 @@
 }
 
 // The same with an engine that fails without being lost, so that the retry is no trial.
-TEST_CASE_METHOD(AnswersFixture, "refusal_ofARetryAfterAServerError_neverSaysNotRun")
+TEST_CASE_METHOD(AnswersFixture, "refusal_ofARetryAfterAServerError_neverReportsNotRun")
 {
     allModels("refuse");
     fleet.setFault("a-m1", "error");
@@ -198,7 +198,7 @@
 
 // What the caller sees: an answer at its deadline at the latest. Why: a request that is given up on
 // is answered at once.
-TEST_CASE_METHOD(AnswersFixture, "refusal_atTheDeadline_comesAtOnce")
+TEST_CASE_METHOD(AnswersFixture, "refusal_atTheDeadline_isSentAtOnce")
 {
     allModels("hang");
     OutgoingRequest request = fleet.chatRequest("a1", false, 6, "late", "free-token");
@@ -208,7 +208,7 @@
     CHECK(reply.code == code(ResultCode::deadlineExceeded));
 }
 
-TEST_CASE_METHOD(AnswersFixture, "badInput_ofEachKind_hasItsCode")
+TEST_CASE_METHOD(AnswersFixture, "badInput_ofEachKind_hasItsResultCode")
 {
     const auto send = [&](const std::string &path, const std::string &body, const Headers &headers,
                           const std::string &method = "POST") {
@@ -250,7 +250,7 @@
 
 // What other callers see: nothing. In what order: some callers send half a request, others open
 // connections and stay silent. Why: a connection that sends nothing holds no thread.
-TEST_CASE_METHOD(AnswersFixture, "badInput_halfSentAndIdle_leavesOthersServed")
+TEST_CASE_METHOD(AnswersFixture, "badInput_incompleteAndIdleConnections_dontAffectOthers")
 {
     asio::io_context io;
     std::vector<asio::ip::tcp::socket> sockets;
@@ -268,7 +268,7 @@
 // What the caller sees: one error, then refusals wherever it sends; other callers see nothing. In
 // what order: a request ends the process of each engine that runs it, and its caller sends it
 // again through every instance. Why: crash marks are shared at once, and two is the limit.
-TEST_CASE_METHOD(AnswersFixture, "poison_sentAgainEverywhere_costsAtMostTwoEngines")
+TEST_CASE_METHOD(AnswersFixture, "crashingRequest_sentToEveryInstance_crashesAtMostTwoEngines")
 {
     for (int i = 0; i < 8; ++i) {
         const Reply reply = fleet.chat(i % 2 == 0 ? "a1" : "a2", false, 6, "crash-this-engine");
@@ -285,7 +285,7 @@
 // What the caller sees: as above. In what order: the same, but each engine that was lost is running
 // again at once, so that it looks as if it had never gone. Why: an engine that answers again clears
 // the request only if it is the same run of it.
-TEST_CASE_METHOD(AnswersFixture, "poison_enginesRestartAtOnce_costsAtMostTwoCrashes")
+TEST_CASE_METHOD(AnswersFixture, "crashingRequest_enginesRestartAtOnce_causesAtMostTwoCrashes")
 {
     int crashes = 0;
     for (int i = 0; i < 5; ++i) {
@@ -305,7 +305,7 @@
 // What callers see: errors for the copies, answers for all else. In what order: copies of one such
 // request arrive at both instances at the same moment. Why: copies share a prefix, so they meet on
 // the same engine; then the marks of both instances name it.
-TEST_CASE_METHOD(AnswersFixture, "poison_copiesAtTheSameMoment_costAtMostTwoEngines")
+TEST_CASE_METHOD(AnswersFixture, "crashingRequest_simultaneousCopies_crashAtMostTwoEngines")
 {
     std::vector<std::future<Reply>> copies;
     for (int i = 0; i < 6; ++i)
@@ -322,7 +322,7 @@
 
 // What the caller sees: its stream to the end. In what order: an instance is told to stop while it
 // serves streams. Why: it takes nothing new, finishes what it has, then exits.
-TEST_CASE_METHOD(AnswersFixture, "plannedStop_underLoad_cutsNoStream")
+TEST_CASE_METHOD(AnswersFixture, "plannedStop_underLoad_completesAllStreams")
 {
     std::vector<std::future<Reply>> streams;
     for (int i = 0; i < 12; ++i)
@@ -349,7 +349,7 @@
 
 // What callers see: nothing. In what order: an engine says that it is leaving; it runs what it has.
 // Why: its own word, seen by any instance, is passed on at once.
-TEST_CASE_METHOD(AnswersFixture, "leavingEngine_afterItsWord_getsNoNewWork")
+TEST_CASE_METHOD(AnswersFixture, "drainingEngine_afterItsOwnReport_getsNoNewRequests")
 {
     fleet.setFault("a-m1", "leaving");
     for (const char *entry : {"a1", "a2"})
@@ -363,7 +363,7 @@
     }
 }
 
-TEST_CASE_METHOD(AnswersFixture, "leavingEngine_namedByThePlatformsList_getsNoNewWork")
+TEST_CASE_METHOD(AnswersFixture, "drainingEngine_inThePlatformsList_getsNoNewRequests")
 {
     std::promise<StoreWrite> written;
     fleet.store().compareAndSet("platform/instances", 0,
@@ -381,7 +381,7 @@
 // What callers see: one late answer at most each, then none. In what order: engines freeze with
 // requests on open connections. Why: a request that makes no progress moves on to another engine,
 // on a new connection, and the frozen engine gets no more.
-TEST_CASE_METHOD(AnswersFixture, "frozenEngine_withOpenConnections_isLeftBehind")
+TEST_CASE_METHOD(AnswersFixture, "stalledEngine_withOpenConnections_isNotUsed")
 {
     for (int i = 0; i < 9; ++i)
         fleet.chat("a1", false, 2, std::to_string(i));
--- a/test/booking-fleet-test.cc
+++ b/test/booking-fleet-test.cc
@@ -30,7 +30,7 @@
 
 } // namespace
 
-TEST_CASE_METHOD(BookingFleetFixture, "booking_sentTwice_runsOnceAndIsRepeated")
+TEST_CASE_METHOD(BookingFleetFixture, "booking_sentTwice_runsOnceAndIsReportedAsRepeated")
 {
     const std::string own = fleet.callerKey();
     CHECK(fleet.book("a1", own).code == code(ResultCode::served));
@@ -71,7 +71,7 @@
 // What the caller sees: its connection breaks; sent again elsewhere, "outcome unknown". In what
 // order: the claim is on the page, the booking is at the server, the holder is killed. Why: a claim
 // without an outcome is never sent again.
-TEST_CASE_METHOD(BookingFleetFixture, "booking_holderKilledBeforeTheAnswer_isNotSentAgain")
+TEST_CASE_METHOD(BookingFleetFixture, "booking_holderKilledBeforeTheResponse_isNotSentAgain")
 {
     fleet.setFault("a-a1", "hang");
     const std::string key = fleet.callerKey();
@@ -88,7 +88,7 @@
 
 // What the caller sees: one booking. In what order: the store applies the claim and loses the
 // answer, or applies it late. Why: the claim is read back, and the attempt's number decides.
-TEST_CASE_METHOD(BookingFleetFixture, "booking_storeLosesAnswers_runsAtMostOnce")
+TEST_CASE_METHOD(BookingFleetFixture, "booking_storeLosesResponses_runsAtMostOnce")
 {
     for (const char *mode : {"loseAnswers", "late", "refuse"}) {
         INFO(mode);
@@ -112,7 +112,7 @@
 // What the caller sees: with its own key "not run, come back, or use an issued key"; with an issued
 // key its booking. In what order: the store goes down and stays down. Why: issued keys are kept in
 // the memory of the instance that issued them.
-TEST_CASE_METHOD(BookingFleetFixture, "booking_storeDown_refusesOwnKeysAndTakesIssuedOnes")
+TEST_CASE_METHOD(BookingFleetFixture, "booking_storeDown_refusesCallerKeysAndAcceptsIssuedKeys")
 {
     fleet.setFault("store", "down");
     const std::string own = fleet.callerKey();
@@ -133,7 +133,7 @@
 // What the caller sees: one booking. In what order: the holder of a claim is frozen before it
 // sends, the caller sends again through another instance, the holder wakes. Why: the claim was
 // taken once and is never handed on, however long its holder sleeps.
-TEST_CASE_METHOD(BookingFleetFixture, "booking_holderFrozenBetweenClaimAndSend_runsAtMostOnce")
+TEST_CASE_METHOD(BookingFleetFixture, "booking_holderPausedBetweenClaimAndSend_runsAtMostOnce")
 {
     fleet.setFault("store", "slow");
     const std::string key = fleet.callerKey();
@@ -165,7 +165,7 @@
 // What the caller sees: "outcome unknown" with an issued key. In what order: the instance that
 // issued it is killed, the caller sends through another. Why: only that incarnation could know
 // whether the key was used.
-TEST_CASE_METHOD(BookingFleetFixture, "booking_issuerKilled_isUnknownAndNeverSentByAnother")
+TEST_CASE_METHOD(BookingFleetFixture, "booking_issuerKilled_isUnknownAndNotSentByOthers")
 {
     const std::string key = fleet.issuedKey("a1");
     fleet.book("a1", key);
@@ -180,7 +180,7 @@
 // What the caller sees: "not run", then its booking with the same key. In what order: no
 // application engine can be reached, then one can. Why: a connection that was never made is
 // certain.
-TEST_CASE_METHOD(BookingFleetFixture, "booking_noServerReached_saysNotRunAndFreesTheKey")
+TEST_CASE_METHOD(BookingFleetFixture, "booking_noServerReachable_reportsNotRunAndReleasesTheKey")
 {
     const std::string own = fleet.callerKey();
     const std::string issued = fleet.issuedKey("a1");
@@ -199,7 +199,7 @@
 // What callers in the cut region see: bookings go on. In what order: every other region and the
 // store stop answering. Why: issued keys, the last configuration and the region's own backend
 // servers are all that a booking needs.
-TEST_CASE_METHOD(TwoRegions, "booking_regionCutOff_goesOnWithIssuedKeys")
+TEST_CASE_METHOD(TwoRegions, "booking_regionDisconnected_runsWithIssuedKeys")
 {
     for (const char *name : {"store", "b1", "b2", "b-m1", "b-m2", "b-a1"})
         fleet.signal(name, SIGSTOP);
@@ -217,7 +217,7 @@
 // What the caller sees: its booking runs in another region, once. In what order: its region has no
 // application engine left. Why: the instance that took the right to send passes it on to one
 // instance and to no other.
-TEST_CASE_METHOD(TwoRegions, "booking_noServerAtHome_runsOnceInAnotherRegion")
+TEST_CASE_METHOD(TwoRegions, "booking_noLocalServer_runsOnceInAnotherRegion")
 {
     fleet.stop("a-a1", SIGKILL);
     eventually("the loss is noticed",
--- a/test/path-rule-test.cc
+++ b/test/path-rule-test.cc
@@ -54,7 +54,7 @@
     CHECK(selectPool(service, 0.5) == "q");
 }
 
-TEST_CASE_METHOD(PathRuleFixture, "servicesAllowed_servicesWithHomes_countOnlyThere")
+TEST_CASE_METHOD(PathRuleFixture, "countAllowedServices_servicesBoundToRegions_countOnlyThere")
 {
     config.regions = {{"a", {}}, {"b", {}}};
     add("free", "h", "/1/");
@@ -62,7 +62,8 @@
     CHECK(countAllowedServices(config) == std::map<std::string, int>{{"a", 1}, {"b", 2}});
 }
 
-TEST_CASE_METHOD(PathRuleFixture, "completeServices_withoutExpectedTime_takesHalfOfTheTarget")
+TEST_CASE_METHOD(PathRuleFixture,
+                 "fillServiceDefaults_noExpectedDuration_usesHalfOfTheTargetLatency")
 {
     add("s", "h", "/").targetLatency = 800ms;
     fillServiceDefaults(config);
