--- a/include/ibisnotch/active-config.h
+++ b/include/ibisnotch/active-config.h
@@ -1,4 +1,5 @@
-// Which version of the shared configuration is in force on an instance, and how versions travel.
+// The version of the shared configuration that is in force on an instance, and the deltas in which
+// instances send versions to each other.
 #pragma once
 
 #include <cstdint>
@@ -14,14 +15,14 @@
 
 namespace ibisnotch {
 
-// What changed in one file: the bytes between a head and a tail that stayed as they were. Most
-// changes touch one place, and 12,000 of them a day must not each carry a whole overlay to every
-// instance.
+// The change of one file: the bytes between a prefix and a suffix that are unchanged. Most changes
+// affect one place, and with 12,000 changes a day a whole overlay must not be sent to every
+// instance for each of them.
 struct FileDelta
 {
     std::string name;
-    std::uint64_t commonPrefixBytes = 0; // bytes of the old text
-    std::uint64_t commonSuffixBytes = 0;
+    std::uint64_t commonPrefixBytes = 0; // unchanged bytes at the start of the old text
+    std::uint64_t commonSuffixBytes = 0; // the same at its end
     std::string replacement;
 
     template <typename Archive> void serialize(Archive &archive)
@@ -31,10 +32,10 @@
     bool operator==(const FileDelta &) const = default;
 };
 
-// What changed between two versions. Only that travels between instances.
+// The difference between two versions. Instances send each other deltas only.
 struct ConfigDelta
 {
-    std::uint64_t fromVersion = 0; // 0: all files are here
+    std::uint64_t fromVersion = 0; // 0 if the delta contains all files
     std::uint64_t toVersion = 0;
     std::string author;
     std::string note;
@@ -42,7 +43,7 @@
     FileDelta base;
     std::map<std::string, FileDelta> changedOverlays; // by site
     std::vector<std::string> removedOverlays;
-    std::string resultHash; // of the whole resulting document
+    std::string resultHash; // hash of the resulting document
 
     template <typename Archive> void serialize(Archive &archive)
     {
@@ -52,14 +53,14 @@
     bool operator==(const ConfigDelta &) const = default;
 };
 
-// From null: a delta with everything.
+// Returns the delta between two versions. If `from` is null, it contains all files.
 ConfigDelta makeDelta(const ConfigDocument *from, const ConfigDocument &to);
 
-// Fails if the delta does not start at this version or the result does not hash as it should; the
-// whole document must then be asked for.
+// Applies a delta to the version that it starts from. Fails if `from` is another version or the
+// hash of the result differs; the whole document must then be requested.
 absl::StatusOr<ConfigDocument> applyDelta(const ConfigDocument *from, const ConfigDelta &delta);
 
-// How a document's text becomes the configuration of one site.
+// Parses a document into the configuration of one site.
 class ConfigFormat
 {
 public:
@@ -68,7 +69,7 @@
                                               const std::string &site) const = 0;
 };
 
-// The product's own format: a base file and an overlay for each site, in YAML.
+// The default format: a YAML base file, and a YAML overlay for each site.
 class OverlayFormat final : public ConfigFormat
 {
 public:
@@ -78,9 +79,8 @@
 
 enum class ConfigApplyResult { accepted, notNewer, invalid };
 
-// Holds the document in force. Versions only ever rise: a document that took long on its way, was
-// kept by a restarted peer, or was read from a lagging replica of the store is turned down.
-// Thread safe.
+// Holds the document in force. Its version only ever increases: an older document is rejected, be
+// it delayed, kept by a restarted peer or read from a lagging replica of the store. Thread safe.
 class ActiveConfig
 {
 public:
@@ -90,13 +90,14 @@
     {
     }
 
+    // Puts a document into force unless it is invalid or not newer.
     ConfigApplyResult apply(const ConfigDocument &document);
 
     std::uint64_t version() const;
     std::shared_ptr<const ConfigDocument> document() const;
     std::shared_ptr<const FleetConfig> config() const;
 
-    // What a peer needs that has this version in force.
+    // Returns the delta for a peer that has this version in force.
     ConfigDelta deltaSince(std::uint64_t version) const;
     std::string lastError() const;
 
--- a/src/decide/active-config.cc
+++ b/src/decide/active-config.cc
@@ -29,7 +29,7 @@
     return {to.name, head, tail, std::string(newText.substr(head, newText.size() - head - tail))};
 }
 
-// Empty if the old text is shorter than the parts that the delta keeps.
+// Returns nothing if the old text is shorter than the unchanged bytes of the delta.
 std::optional<ConfigFile> applyFileDelta(const ConfigFile &from, const FileDelta &delta)
 {
     const std::uint64_t size = from.text.size();
@@ -74,7 +74,7 @@
 {
     const std::uint64_t version = from == nullptr ? 0 : from->version;
     if (delta.fromVersion != 0 && delta.fromVersion != version)
-        return absl::FailedPreconditionError("the delta starts at another version");
+        return absl::FailedPreconditionError("the delta starts from another version");
     ConfigDocument document;
     if (delta.fromVersion != 0)
         document = *from;
@@ -84,19 +84,19 @@
     if (delta.baseChanged) {
         const auto base = applyFileDelta(document.base, delta.base);
         if (!base)
-            return absl::DataLossError("the delta does not fit the base file");
+            return absl::DataLossError("the delta does not apply to the base file");
         document.base = *base;
     }
     for (const auto &[site, change] : delta.changedOverlays) {
         const auto file = applyFileDelta(document.overlays[site], change);
         if (!file)
-            return absl::DataLossError("the delta does not fit the overlay of " + site);
+            return absl::DataLossError("the delta does not apply to the overlay of " + site);
         document.overlays[site] = *file;
     }
     for (const std::string &site : delta.removedOverlays)
         document.overlays.erase(site);
     if (hashOf(document) != delta.resultHash)
-        return absl::DataLossError("the delta does not give the document it names");
+        return absl::DataLossError("the delta does not lead to the document that it names");
     return document;
 }
 
@@ -119,7 +119,7 @@
         m_lastError = std::string(config.status().message());
         return ConfigApplyResult::invalid;
     }
-    // Checked again: another thread may have moved on while this one parsed.
+    // Checked again: another thread may have applied a newer version while this one parsed.
     if (m_document && document.version <= m_document->version)
         return ConfigApplyResult::notNewer;
     fillServiceDefaults(*config);
--- a/test/active-config-test.cc
+++ b/test/active-config-test.cc
@@ -7,10 +7,9 @@
 
 using namespace ibisnotch;
 
-// What operators see: an accepted change stays in force. In what order: versions arrive in any
-// order, more than once, from the store and from peers that were restarted or lag. Why: the gate
-// takes only higher versions.
-TEST_CASE_METHOD(ConfigFixture, "configGate_offersInAnyOrder_neverReverts")
+// Guards against reverting an accepted change when versions arrive in any order or more than once,
+// from the store and from peers that lag or were restarted.
+TEST_CASE_METHOD(ConfigFixture, "activeConfig_versionsInAnyOrder_neverReverts")
 {
     rc::prop("versions only rise", [this] {
         ActiveConfig active("a");
@@ -26,7 +25,7 @@
     });
 }
 
-TEST_CASE_METHOD(ConfigFixture, "configGate_invalidDocument_keepsWhatIsInForce")
+TEST_CASE_METHOD(ConfigFixture, "activeConfig_invalidDocument_keepsTheVersionInForce")
 {
     ActiveConfig active("a");
     active.apply(withVersion(3));
@@ -37,10 +36,9 @@
     CHECK(active.lastError().find("nonsense") != std::string::npos);
 }
 
-// What operators see: every instance ends with the same document. In what order: an instance has
-// any older version, or none, and pulls what changed. Why: a delta that does not give the document
-// it names is not taken.
-TEST_CASE_METHOD(ConfigFixture, "configDelta_fromAnyVersion_givesTheSameDocument")
+// Guards against instances with different documents after they applied deltas from any older
+// version, or from none.
+TEST_CASE_METHOD(ConfigFixture, "applyDelta_fromAnyVersion_givesTheSameDocument")
 {
     rc::prop("apply(make(from, to)) == to", [this] {
         ConfigDocument from = withVersion(*rc::gen::inRange<std::uint64_t>(1, 5));
@@ -61,18 +59,18 @@
     });
 }
 
-TEST_CASE_METHOD(ConfigFixture, "applyDelta_onAnotherVersion_isRefused")
+TEST_CASE_METHOD(ConfigFixture, "applyDelta_onAnotherVersion_fails")
 {
     const ConfigDocument two = withVersion(2);
     const ConfigDocument three = withVersion(3);
     const ConfigDelta delta = makeDelta(&two, withVersion(4));
     CHECK_FALSE(applyDelta(&three, delta).ok());
     ConfigDelta damaged = delta;
-    damaged.note = "changed on the way";
+    damaged.note = "modified in transit";
     CHECK_FALSE(applyDelta(&two, damaged).ok());
 }
 
-TEST_CASE_METHOD(ConfigFixture, "makeDelta_ofOneOverlay_leavesTheBaseOut")
+TEST_CASE_METHOD(ConfigFixture, "makeDelta_ofOneOverlay_omitsTheBase")
 {
     const ConfigDocument two = withVersion(2);
     const ConfigDelta delta = makeDelta(&two, withVersion(3));
