--- a/src/ibisnotch-slopes.cc
+++ b/src/ibisnotch-slopes.cc
@@ -211,9 +211,9 @@
         });
         const double check = costOf([&] { (void)validateDocument(document, nullptr).ok(); });
         const ConfigDelta delta = makeDelta(&document, changed);
-        std::size_t deltaBytes = delta.base.middle.size();
+        std::size_t deltaBytes = delta.base.replacement.size();
         for (const auto &[site, file] : delta.changedOverlays)
-            deltaBytes += file.middle.size();
+            deltaBytes += file.replacement.size();
         fmt::print("{:2}, {:3}, {:3} | {:7.1f} | {} | {:7.2f} | {:7.1f} | {}\n", size.sites,
                    size.customers, size.servers,
                    static_cast<double>(serializeDocument(document).size()) / 1024, deltaBytes,
