--- a/include/ibisnotch/quarantine.h
+++ b/include/ibisnotch/quarantine.h
@@ -1,4 +1,4 @@
-// Requests that crash the backend servers which run them.
+// Quarantine of requests that crash the backend servers which run them.
 #pragma once
 
 #include <cstdint>
@@ -11,20 +11,19 @@
 
 namespace ibisnotch {
 
-// Names a request for quarantine. Of one customer only, so that no customer's requests are held
-// because of another's.
+// Returns the name of a request in the quarantine. It includes the customer, so that no customer's
+// requests are held because of another customer's.
 std::string requestFingerprint(std::string_view customer, std::string_view service,
                                std::string_view body);
 
-// "This request was being run by this backend server when the server was lost." Sent to the other
-// instances at once.
+// Reports that a backend server failed while it ran a request. Sent to the other instances at once.
 struct CrashMark
 {
     std::string fingerprint;
     std::string server;
-    std::string observer; // the entry instance that holds the one trial
-    std::uint32_t ageMs = 0; // when sent
-    bool cleared = false; // the trial went well, the request is sound
+    std::string observer; // name of the entry instance that may try the request again
+    std::uint32_t ageMs = 0; // time since the crash, when sent
+    bool cleared = false; // the request was answered after all and is not suspect
 
     template <typename Archive> void serialize(Archive &archive)
     {
@@ -35,14 +34,14 @@
 
 enum class QuarantineDecision {
     clear,
-    trial, // one attempt, by this instance alone
-    held, // another instance holds the trial, or it is under way
+    trial, // this instance may make one attempt, and no other instance may
+    held, // another instance may try the request, or a trial is running
     quarantined,
 };
 
-// After one lost server a request is suspect: only the observer may try it once more, everyone else
-// holds it. After a second it is quarantined. Without the hold, a caller who re-sends through other
-// instances would lose one server at each. Not thread safe.
+// A request is suspect after one crashed server: only the observer may try it once more, and all
+// other instances hold it. After a second crash it is quarantined. Without the hold, a caller that
+// sends the request again to other instances would crash one server at each. Not thread safe.
 class Quarantine
 {
 public:
@@ -55,22 +54,24 @@
 
     Quarantine(std::string self, Limits limits);
 
+    // Returns whether this instance may run the request.
     QuarantineDecision check(const std::string &fingerprint, TimePoint now);
 
-    // Notes an attempt that this instance starts; the next check() for the same suspect is held.
+    // Called when this instance starts a trial; until it finishes, check() returns `held`.
     void onTrialStarted(const std::string &fingerprint);
     void onTrialFinished(const std::string &fingerprint);
 
-    // A server was lost while it ran the request. Returns the mark to share.
+    // Called when a server failed while it ran the request. Returns the mark for other instances.
     CrashMark onServerCrashed(const std::string &fingerprint, const std::string &server,
                               TimePoint now);
-    // The request was answered after all. Returns the mark to share, if it was suspect.
+    // Called when the request was answered. Returns the marks for other instances if it was
+    // suspect.
     std::vector<CrashMark> onAnswered(const std::string &fingerprint);
 
-    // A mark from another instance. Returns true if it was isNew, to be passed on.
+    // Called with a mark of another instance. Returns true if it was not known here.
     bool onMark(const CrashMark &mark, TimePoint now);
 
-    // Marks young enough to be repeated in gossip.
+    // Returns marks that are recent enough to be sent again with probes.
     std::vector<CrashMark> recentMarks(TimePoint now, std::size_t maxCount) const;
 
     std::size_t size() const { return m_suspects.size(); }
--- a/src/decide/quarantine.cc
+++ b/src/decide/quarantine.cc
@@ -36,8 +36,8 @@
         return QuarantineDecision::held;
     if (suspect.observer == m_self)
         return QuarantineDecision::trial;
-    // The observer has had its time and may be gone. Its single trial passes to whoever is asked,
-    // and the first loss would complete the two.
+    // The observer may have failed. Any instance may then make the trial; a crash during it is the
+    // second one.
     const bool holdExpired = suspect.lastCrashAt + m_limits.holdTime <= now;
     return holdExpired ? QuarantineDecision::trial : QuarantineDecision::held;
 }
@@ -97,7 +97,7 @@
     Suspect &suspect = m_suspects[mark.fingerprint];
     if (suspect.cleared || !suspect.servers.insert(mark.server).second)
         return false;
-    // Two instances may each see a first loss. The smaller name keeps the trial, everywhere alike.
+    // Two instances may each observe a first crash. All instances let the smaller name try.
     if (suspect.observer.empty() || mark.observer < suspect.observer)
         suspect.observer = mark.observer;
     suspect.lastCrashAt = std::max(suspect.lastCrashAt, crashedAt);
--- a/test/quarantine-test.cc
+++ b/test/quarantine-test.cc
@@ -10,63 +10,64 @@
 
 namespace {
 
-// Entry instances that run one caller's request on backend servers, each of which it kills, while
-// crash marks travel with delay.
-class PoisonedFleet
+// Entry instances that run a request which crashes every backend server. Crash marks are delivered
+// with a delay.
+class CrashingRequestFleet
 {
 public:
-    explicit PoisonedFleet(int instances)
+    explicit CrashingRequestFleet(int instances)
     {
         for (int i = 0; i < instances; ++i)
             m_instances.emplace_back("e" + std::to_string(i), Quarantine::Limits{});
     }
 
-    // The caller sends through an instance, which tries while it may.
+    // Sends the request to an instance, which makes attempts as long as it may.
     void send(std::size_t instance)
     {
         Quarantine &own = m_instances[instance];
         for (int attempt = 0; attempt < 3; ++attempt) {
-            const auto answer = own.check("f", m_now);
-            if (answer == QuarantineDecision::held || answer == QuarantineDecision::quarantined)
+            const auto decision = own.check("f", m_now);
+            if (decision == QuarantineDecision::held || decision == QuarantineDecision::quarantined)
                 return;
-            if (answer == QuarantineDecision::trial)
+            if (decision == QuarantineDecision::trial)
                 own.onTrialStarted("f");
-            ++m_lost;
-            const CrashMark mark = own.onServerCrashed("f", "s" + std::to_string(m_lost), m_now);
+            ++m_crashedServers;
+            const CrashMark mark
+                = own.onServerCrashed("f", "s" + std::to_string(m_crashedServers), m_now);
             own.onTrialFinished("f");
             for (std::size_t other = 0; other < m_instances.size(); ++other) {
                 if (other != instance)
-                    m_wire.push_back({other, mark});
+                    m_inTransit.push_back({other, mark});
             }
         }
     }
 
     void deliverAll()
     {
-        for (const auto &[to, mark] : m_wire)
+        for (const auto &[to, mark] : m_inTransit)
             m_instances[to].onMark(mark, m_now);
-        m_wire.clear();
+        m_inTransit.clear();
     }
 
     void advance(Duration by) { m_now += by; }
-    int lost() const { return m_lost; }
+    int crashedServers() const { return m_crashedServers; }
 
 private:
     std::vector<Quarantine> m_instances;
-    std::deque<std::pair<std::size_t, CrashMark>> m_wire;
+    std::deque<std::pair<std::size_t, CrashMark>> m_inTransit;
     TimePoint m_now = TimePoint(1h);
-    int m_lost = 0;
+    int m_crashedServers = 0;
 };
 
 } // namespace
 
-// What the caller sees: an error, then "quarantined" wherever it sends again. In what order: the
-// request kills a server, is tried once more and kills another; the caller goes from instance to
-// instance. Why: marks are shared before the caller has its answer, and only one instance may try.
-TEST_CASE("quarantine_callerResendsAnywhere_losesAtMostTwoServers")
+// Guards against crashing a server at each instance to which a caller sends the same request again.
+// Only one instance may try the request after the first crash, and marks are shared before the
+// caller gets its response.
+TEST_CASE("quarantine_callerResendsToAnyInstance_crashesAtMostTwoServers")
 {
-    rc::prop("two servers at most while the quarantine lasts", [] {
-        PoisonedFleet fleet(5);
+    rc::prop("at most two servers crash during the quarantine", [] {
+        CrashingRequestFleet fleet(5);
         const int sends = *rc::gen::inRange(1, 30);
         Duration passed{};
         for (int i = 0; i < sends && passed < 9min; ++i) {
@@ -76,11 +77,11 @@
             fleet.advance(pause);
             passed += pause;
         }
-        RC_ASSERT(fleet.lost() <= 2);
+        RC_ASSERT(fleet.crashedServers() <= 2);
     });
 }
 
-TEST_CASE("quarantine_afterItsTime_ends")
+TEST_CASE("quarantine_afterQuarantineTime_ends")
 {
     Quarantine quarantine("a", {});
     quarantine.onServerCrashed("f", "s1", TimePoint());
