--- a/include/ibisnotch/burn.h
+++ b/include/ibisnotch/burn.h
@@ -1,4 +1,4 @@
-// Service-level burn: how fast a service's error budget is spent, for each customer.
+// Error budget burn rate of each service and customer.
 #pragma once
 
 #include <array>
@@ -16,7 +16,7 @@
 struct BurnCount
 {
     std::uint64_t total = 0;
-    std::uint64_t bad = 0; // late, failed or refused by the system
+    std::uint64_t bad = 0; // late, failed or rejected by the system
     bool operator==(const BurnCount &) const = default;
 };
 
@@ -28,7 +28,7 @@
     bool operator==(const BurnSeries &) const = default;
 };
 
-// Counts per minute, kept for six hours in memory. Thread safe.
+// Counts requests per minute, and keeps the counts in memory for six hours. Thread safe.
 class BurnCounter
 {
 public:
@@ -49,10 +49,11 @@
 inline constexpr std::array burnWindows{BurnWindow{"5m", 5}, BurnWindow{"1h", 60},
                                         BurnWindow{"6h", 360}};
 
-// Spending at rate 1 uses up the error budget exactly over its period. No traffic gives 0.
+// Returns the burn rate over the given minutes. At rate 1 the error budget is spent exactly at the
+// end of its period. Returns 0 without traffic.
 double burnRate(const BurnSeries &series, std::int64_t untilMinute, int minutes, double objective);
 
-// Adds up what several instances counted.
+// Returns the sums of the counts of several instances.
 std::vector<BurnSeries> mergeBurn(const std::vector<std::vector<BurnSeries>> &parts);
 
 std::string serializeBurn(const std::vector<BurnSeries> &series);
--- a/include/ibisnotch/entry-list.h
+++ b/include/ibisnotch/entry-list.h
@@ -1,5 +1,5 @@
-// The answer to a caller's input which entry instances to use. With no balancer before them,
-// this answer is what balances.
+// The list of entry instances that a caller is to use. There is no load balancer in front of the
+// instances; these lists balance the load.
 #pragma once
 
 #include <map>
@@ -14,37 +14,39 @@
 
 struct EntryList
 {
-    std::vector<Member> instances; // to be tried in this order
+    std::vector<Member> instances; // in the order in which the caller tries them
     Duration lifetime{};
     bool operator==(const EntryList &) const = default;
 };
 
-// The caller's region first, then the other allowed regions. Within a region the order is drawn at
-// random for each call, weighted by free capacity, so that callers who ask together are told
-// different orders. Leaving and suspected instances are left out.
+// Returns instances of the caller's region first, then of the other allowed regions. Within a
+// region the order is a random sample weighted by free capacity, so that callers which ask at the
+// same time get different orders. Leaving and suspect instances are omitted.
 EntryList makeEntryList(const std::vector<Member> &members, const std::string &callerRegion,
                         const std::vector<std::string> &allowedRegions, Random &random);
 
 struct LocalEntryListInput
 {
     std::string callerRegion;
-    // How many services may run in each region.
+    // Number of services that may run in each region.
     std::map<std::string, int> servicesAllowed;
     Duration lifetime{};
 };
 
-// For callers that pick any of the named instances: all that are alive in the caller's region. If
-// none is, as when all stop in turn for planned work, those of the regions where most services may
-// run: a caller sent elsewhere would hand its data to a region that may not have it. Which service
-// a caller will ask for is not known; it may use one answer for several hosts. In random order.
+// Returns all alive instances of the caller's region in random order, for callers that use any of
+// the listed instances. If there are none, as when all stop in turn during planned maintenance,
+// returns the instances of the region in which most services may run: a caller that is sent
+// elsewhere would pass its data to a region that may not have it. The caller's services are not
+// known here, as it may use one list for several hosts.
 EntryList makeLocalEntryList(const std::vector<Member> &members, const LocalEntryListInput &input,
                              Random &random);
 
-// The few instances of another region that one instance hands its requests to, so that it finds a
-// kept connection there: a new one costs the way there and back first. With 27 instances a region,
-// requests drawn over all of them met a new connection nearly each time (median first token of
-// digests in a region pair 80 ms apart 525 ms, with usual peers 394 ms). Chosen by rendezvous, so
-// that senders spread over the region, and a member that goes moves only its own senders.
+// Returns the few instances of another region to which instance `self` forwards requests, so that
+// it finds an open connection to them; a new one costs a round trip first. With 27 instances per
+// region and all of them used, nearly every request opened a connection: the median time to the
+// first token of digests between regions 80 ms apart was 525 ms, compared with 394 ms with
+// preferred peers. Chosen by rendezvous hashing, which distributes the senders over the region; if
+// a member is removed, only its own senders choose another one.
 std::vector<Member> preferredPeers(std::vector<Member> members, const std::string &self,
                                    const std::string &region);
 
--- a/include/ibisnotch/forward-path.h
+++ b/include/ibisnotch/forward-path.h
@@ -1,4 +1,4 @@
-// The way a request has taken between entry instances, and the rules that keep it from looping.
+// The path of a request between entry instances, and the rules that prevent forwarding loops.
 #pragma once
 
 #include <string>
@@ -17,27 +17,27 @@
     bool operator==(const Hop &) const = default;
 };
 
-// The instances a request has passed, first to last; empty when it comes from its caller.
+// The instances that have forwarded a request, in order; empty if it comes from its caller.
 using ForwardPath = std::vector<Hop>;
 
 constexpr std::string_view forwardPathHeader = "X-Ibisnotch-Path";
-// Attempts of the request that may have run so far. Without it, the next instance would allow as
-// many again, and one request would run on more servers than its service permits.
+// Number of attempts of the request so far that may have run. Without it each instance would allow
+// the full number of attempts, and a request would run on more servers than its service permits.
 constexpr std::string_view previousRunsHeader = "X-Ibisnotch-Runs";
 
-// "bp-1@budapest,gy-1@gyor"
+// Returns the path in the format "bp-1@budapest,gy-1@gyor".
 std::string formatForwardPath(const ForwardPath &path);
 absl::StatusOr<ForwardPath> parseForwardPath(std::string_view text);
 
-// How often the path changes regions.
+// Returns how often the path changes from one region to another.
 int regionChanges(const ForwardPath &path);
 
-// The receiver's check. Fails with ResultCode::loopRefused if the request has been here, has
-// changed regions more than once, or has been handed on too often. The sender follows the same
-// rules; the check at the receiver holds when a sender with other settings does not.
+// Checks a received request. Fails with ResultCode::loopRefused if the request has been at this
+// instance before, has changed regions more than once, or has been forwarded too often. Senders
+// follow the same rules; the check also holds if a sender has other settings.
 absl::Status checkForwardPath(const ForwardPath &path, const Hop &self);
 
-// Whether an instance that holds a request with this path may hand it to one in that region.
+// Returns true if instance `self` may forward a request with this path to `next`.
 bool canForwardTo(const ForwardPath &path, const Hop &self, const Hop &next);
 
 } // namespace ibisnotch
--- a/include/ibisnotch/hash.h
+++ b/include/ibisnotch/hash.h
@@ -1,4 +1,4 @@
-// XXH3 hashes. They spread and compare; they keep no secrets.
+// XXH3 hashes, for distribution and comparison. Not cryptographic.
 #pragma once
 
 #include <cstdint>
@@ -9,12 +9,13 @@
 
 std::uint64_t hash64(std::string_view text, std::uint64_t seed = 0);
 
-// 32 hex digits over parts. Each part's length is part of the hash, so that ("ab","c") and
-// ("a","bc") differ.
+// Returns a 128-bit hash of the parts as 32 hexadecimal digits. The lengths of the parts are
+// included, so that ("ab", "c") and ("a", "bc") differ.
 std::string hash128Hex(std::string_view first, std::string_view second,
                        std::string_view third = {});
 
-// The weight of a node for a key in rendezvous hashing: the highest wins.
+// Returns the weight of a node for a key in rendezvous hashing; the node with the highest weight is
+// chosen.
 std::uint64_t rendezvousWeight(std::string_view node, std::uint64_t key);
 
 } // namespace ibisnotch
--- a/include/ibisnotch/random.h
+++ b/include/ibisnotch/random.h
@@ -1,4 +1,4 @@
-// Randomness as an argument, so that a test can fix it.
+// A random number generator that is passed as an argument, so that tests can set its seed.
 #pragma once
 
 #include <cstdint>
@@ -8,6 +8,7 @@
 
 namespace ibisnotch {
 
+// Thread safe.
 class Random
 {
 public:
@@ -17,13 +18,13 @@
         const std::lock_guard lock(m_mutex);
         return m_engine();
     }
-    // From 0 to below 1.
+    // Returns a number in [0, 1).
     double uniform()
     {
         constexpr double scale = 1.0 / (1ULL << 53);
         return static_cast<double>(next() >> 11) * scale;
     }
-    // From 0 to below limit, which must not be 0.
+    // Returns a number in [0, limit). `limit` must not be 0.
     std::uint64_t below(std::uint64_t limit) { return next() % limit; }
 
 private:
@@ -31,6 +32,7 @@
     std::mt19937_64 m_engine;
 };
 
+// Returns a seed from the random device of the system.
 std::uint64_t randomSeed();
 
 } // namespace ibisnotch
--- a/src/decide/entry-list.cc
+++ b/src/decide/entry-list.cc
@@ -15,7 +15,7 @@
 constexpr double fullPercent = 100;
 constexpr double minWeight = 0.05;
 
-struct Ranked
+struct RankedMember
 {
     bool isLocal = false;
     double draw = 0;
@@ -27,22 +27,22 @@
 EntryList makeEntryList(const std::vector<Member> &members, const std::string &callerRegion,
                         const std::vector<std::string> &allowedRegions, Random &random)
 {
-    std::vector<Ranked> ranked;
+    std::vector<RankedMember> ranked;
     for (const Member &member : members) {
         const bool allowed = std::find(allowedRegions.begin(), allowedRegions.end(), member.region)
             != allowedRegions.end();
         if (member.state != MemberState::alive || !allowed)
             continue;
         const double free = std::max(minWeight, 1 - member.loadPercent / fullPercent);
-        // The logarithm of a uniform number over the weight orders a weighted sample.
+        // Sorting by log(u) / weight, with u uniform in (0, 1), yields a weighted random sample.
         const double draw = std::log(random.uniform() + 1e-12) / free;
         ranked.push_back({member.region == callerRegion, draw, &member});
     }
-    std::sort(ranked.begin(), ranked.end(), [](const Ranked &a, const Ranked &b) {
+    std::sort(ranked.begin(), ranked.end(), [](const RankedMember &a, const RankedMember &b) {
         return a.isLocal != b.isLocal ? a.isLocal : a.draw > b.draw;
     });
     EntryList list;
-    for (const Ranked &item : ranked) {
+    for (const RankedMember &item : ranked) {
         if (list.instances.size() < maxInstances)
             list.instances.push_back(*item.member);
     }
--- a/src/decide/forward-path.cc
+++ b/src/decide/forward-path.cc
@@ -11,7 +11,8 @@
 
 namespace {
 
-// From the caller's instance to the issuer of its booking key, and from there to another region.
+// One from the caller's instance to the issuer of its booking key, one from there to another
+// region.
 constexpr std::size_t maxHops = 2;
 constexpr int maxRegionChanges = 1;
 
--- a/test/burn-test.cc
+++ b/test/burn-test.cc
@@ -27,7 +27,7 @@
     CHECK(counter.series().at(0).minutes.size() == 360);
 }
 
-TEST_CASE("mergeBurn_ofParts_countsWhatOneWouldHaveCounted")
+TEST_CASE("mergeBurn_ofParts_equalsOneCounter")
 {
     rc::prop("merge is addition", [] {
         BurnCounter whole;
--- a/test/entry-list-test.cc
+++ b/test/entry-list-test.cc
@@ -23,28 +23,27 @@
 
 } // namespace
 
-TEST_CASE("makeEntryList_ofAnyFleet_namesUsableInstancesHomeFirst")
+TEST_CASE("makeEntryList_ofAnyFleet_listsAliveInstancesLocalFirst")
 {
-    rc::prop("alive, allowed, home first", [](std::uint64_t seed) {
+    rc::prop("alive, allowed, local first", [](std::uint64_t seed) {
         std::vector<Member> members = fleet();
         for (Member &member : members)
             member.state = static_cast<MemberState>(*rc::gen::inRange(0, 5));
         Random random(seed);
         const EntryList list = makeEntryList(members, "a", {"a", "b"}, random);
-        bool away = false;
+        bool isRemote = false;
         for (const Member &member : list.instances) {
             RC_ASSERT(member.state == MemberState::alive);
             RC_ASSERT(member.region != "c");
-            RC_ASSERT(!(away && member.region == "a"));
-            away = away || member.region != "a";
+            RC_ASSERT(!(isRemote && member.region == "a"));
+            isRemote = isRemote || member.region != "a";
         }
         RC_ASSERT(list.lifetime.count() > 0);
     });
 }
 
-// What callers see: different orders. In what order: many ask at the same time, then all connect.
-// Why: the order is drawn for each call, weighted by what is free.
-TEST_CASE("makeEntryList_askedTogether_spreadsCallersByLoad")
+// Guards against callers that ask at the same time and all connect to the same instance.
+TEST_CASE("makeEntryList_manyCallers_distributesThemByFreeCapacity")
 {
     std::vector<Member> members = fleet();
     members[1].loadPercent = 80;
@@ -58,10 +57,9 @@
     CHECK(first["a2"] > 50);
 }
 
-// What the caller sees: its data in a region that may not have it. In what order: all instances of
-// its region stop for planned work, one after the other and overlapping; it asks the directory.
-// Why: any other region was named, though one of them has fewer services that may run there.
-TEST_CASE("makeLocalEntryList_noInstanceInTheRegion_namesWhereMostServicesMayRun")
+// Guards against sending a caller's data to a region that may not have it while all instances of
+// its own region are stopped for planned maintenance.
+TEST_CASE("makeLocalEntryList_noInstanceInTheRegion_listsRegionWithMostServices")
 {
     std::vector<Member> members = fleet();
     Random random(1);
@@ -80,8 +78,8 @@
     CHECK(makeLocalEntryList(members, input, random).instances.empty());
 }
 
-// What callers see: nothing. In what order: requests are sent away, an instance of that region
-// goes. Why: senders that all moved would meet new connections, 160 ms more between regions.
+// Guards against senders that all choose other peers when one instance is removed, and so have to
+// open new connections, which takes 160 ms more between regions.
 TEST_CASE("preferredPeers_oneInstanceRemoved_onlyItsPlaceChanges")
 {
     std::vector<Member> members;
@@ -97,9 +95,10 @@
         REQUIRE(before.size() == 3);
         for (const Member &member : before)
             ++uses[member.name];
-        std::vector<Member> left = members;
-        std::erase_if(left, [&](const Member &member) { return member.name == before[1].name; });
-        const std::vector<Member> after = preferredPeers(left, self, "b");
+        std::vector<Member> remaining = members;
+        std::erase_if(remaining,
+                      [&](const Member &member) { return member.name == before[1].name; });
+        const std::vector<Member> after = preferredPeers(remaining, self, "b");
         CHECK(after[0] == before[0]);
         CHECK(after[1] == before[2]);
     }
--- a/test/forward-path-test.cc
+++ b/test/forward-path-test.cc
@@ -15,10 +15,9 @@
 
 } // namespace
 
-// What the caller sees: one answer or one refusal. In what order: each instance hands the request
-// to any other, senders ignore their own rules. Why: the receiver counts instances and changes of
-// region by itself, so every path ends after a few hops.
-TEST_CASE("forwardPath_withCarelessSenders_endsAndNeverReturns")
+// Guards against forwarding loops when senders ignore the rules: the receiver checks the instances
+// and region changes itself, so every path ends after a few hops.
+TEST_CASE("forwardPath_sendersIgnoringTheRules_endsWithoutALoop")
 {
     rc::prop("no loops", [] {
         ForwardPath path;
@@ -40,7 +39,7 @@
     });
 }
 
-TEST_CASE("checkForwardPath_backToTheFirstRegion_isRefused")
+TEST_CASE("checkForwardPath_backToTheFirstRegion_isRejected")
 {
     const ForwardPath path{{"a1", "a"}, {"b1", "b"}};
     CHECK(resultCodeOf(checkForwardPath(path, {"a2", "a"})) == ResultCode::loopRefused);
@@ -49,7 +48,7 @@
     CHECK(canForwardTo({}, {"a1", "a"}, {"c1", "c"}));
 }
 
-TEST_CASE("parseForwardPath_ofPrintedPaths_givesThemBack")
+TEST_CASE("parseForwardPath_ofFormattedPaths_returnsThem")
 {
     const ForwardPath path{{"a1", "a"}, {"b1", "b"}};
     CHECK(*parseForwardPath(formatForwardPath(path)) == path);
--- a/test/hash-test.cc
+++ b/test/hash-test.cc
@@ -7,7 +7,7 @@
 
 using namespace ibisnotch;
 
-TEST_CASE("hash128Hex_ofParts_dependsOnWhereTheyAreParted")
+TEST_CASE("hash128Hex_ofParts_dependsOnTheirBoundaries")
 {
     CHECK(hash128Hex("ab", "c") != hash128Hex("a", "bc"));
     CHECK(hash128Hex("a", "b").size() == 32);
@@ -17,8 +17,8 @@
     });
 }
 
-// What callers see: a node's loss moves only what it had. Why: the order of the others stays.
-TEST_CASE("rendezvousWeight_whenANodeGoes_movesOnlyItsKeys")
+// Guards against moving keys of other nodes when one node is removed.
+TEST_CASE("rendezvousWeight_nodeRemoved_movesOnlyItsKeys")
 {
     const auto winner = [](std::uint64_t key, int nodes) {
         int best = 0;
