--- a/src/decide/process-settings.cc
+++ b/src/decide/process-settings.cc
@@ -31,9 +31,9 @@
 std::vector<Region> readRegions(SettingReader &reader)
 {
     std::map<std::string, std::vector<std::string>> dataCentres;
-    for (auto &[name, place] : reader.children("dataCentres")) {
-        dataCentres[place.requiredText("region")].push_back(name);
-        place.finish();
+    for (auto &[name, dataCentre] : reader.children("dataCentres")) {
+        dataCentres[dataCentre.requiredText("region")].push_back(name);
+        dataCentre.finish();
     }
     std::vector<Region> regions;
     for (auto &[name, names] : dataCentres)
--- a/test/config-test.cc
+++ b/test/config-test.cc
@@ -11,6 +11,7 @@
 
 struct InvalidSettingsFixture : ConfigFixture
 {
+    // Returns the errors reported after replacing a text in the base file; empty if there are none.
     std::string messageFor(const std::string &from, const std::string &to)
     {
         ConfigDocument draft = document;
