--- a/include/ibisnotch/peer-link.h
+++ b/include/ibisnotch/peer-link.h
@@ -23,22 +23,22 @@
 
 // Raised when fields are appended. A reader ignores what follows the fields it knows, so instances
 // of neighbouring versions understand each other while a fleet is being replaced.
-constexpr std::uint16_t peerProtocol = 4;
+constexpr std::uint16_t peerProtocolVersion = 4;
 
 struct GossipMessage
 {
-    std::uint16_t protocol = peerProtocol;
+    std::uint16_t protocol = peerProtocolVersion;
     Probe probe;
     std::uint64_t configVersion = 0;
     std::vector<CompactLoad> loads; // of the sender's region only
     std::vector<RegionLoad> regionLoads;
-    std::vector<CrashMark> marks;
-    std::vector<SilenceUpdate> silences; // since protocol 2, as the next
-    std::vector<RangeUpdate> ranges;
-    std::vector<RangePosition> rangeMarks; // since protocol 3, as the next
-    std::vector<ColdUpdate> colds;
-    bool tellsUses = false; // since protocol 4, as the next two
-    std::vector<CustomerUsage> uses; // of the sender; customers that are left out use nothing
+    std::vector<CrashMark> crashMarks;
+    std::vector<SilenceUpdate> silenceUpdates; // since protocol 2, as the next
+    std::vector<RangeUpdate> rangeUpdates;
+    std::vector<RangePosition> rangePositions; // since protocol 3, as the next
+    std::vector<ColdUpdate> coldUpdates;
+    bool hasCustomerUses = false; // since protocol 4, as the next two
+    std::vector<CustomerUsage> customerUses; // of the sender; customers that are left out use nothing
     std::vector<RegionUsage> regionUses;
 
     bool operator==(const GossipMessage &) const = default;
@@ -52,19 +52,19 @@
 
 struct PeerRequest
 {
-    std::uint16_t protocol = peerProtocol;
-    std::uint64_t haveVersion = 0;
+    std::uint16_t protocol = peerProtocolVersion;
+    std::uint64_t knownVersion = 0;
     bool wantMembers = false;
-    std::vector<RangeRequest> ranges; // since protocol 3
+    std::vector<RangeRequest> rangeRequests; // since protocol 3
     bool operator==(const PeerRequest &) const = default;
 };
 
 struct PeerReply
 {
-    std::uint16_t protocol = peerProtocol;
+    std::uint16_t protocol = peerProtocolVersion;
     ConfigDelta delta; // toVersion 0: nothing newer
     std::vector<Member> members;
-    std::vector<RangeReply> ranges; // since protocol 3
+    std::vector<RangeReply> rangeReplies; // since protocol 3
     bool operator==(const PeerReply &) const = default;
 };
 
@@ -99,8 +99,8 @@
 
     // From the loop's thread only.
     void sendGossip(const std::string &address, const GossipMessage &message);
-    void exchange(const std::string &address, const PeerRequest &request,
-                  std::function<void(std::optional<PeerReply>)> done);
+    void sendRequest(const std::string &address, const PeerRequest &request,
+                     std::function<void(std::optional<PeerReply>)> done);
 
     // From any thread.
     void post(std::function<void()> task);
--- a/src/entry/control-loads.cc
+++ b/src/entry/control-loads.cc
@@ -16,10 +16,10 @@
 // Health checks are counted by the platform, and a server that is silent longer than one checker's
 // absence is tried by a request anyway.
 constexpr std::size_t checkersPerServer = 1;
-constexpr std::size_t regionLoadsPerMessage = 16; // of about 45 bytes
+constexpr std::size_t maxRegionLoadsPerMessage = 16; // of about 45 bytes
 // However many servers a region has for each of its instances, one instance asks no more of them
 // than this at once; with more, each is asked less often.
-constexpr std::size_t pollsPerPeriod = 2;
+constexpr std::size_t maxPollsPerPeriod = 2;
 
 // The first instance of each region by rendezvous, of those given.
 std::map<std::string, Member> reportersByRegion(const std::vector<Member> &members)
@@ -56,8 +56,8 @@
         // With cold servers counted in, the other regions sent their prompts to a region whose
         // servers had all just come back, and 324 requests were refused in two seconds.
         removeCold(candidates, now);
-        addEngineEstimates(candidates, m_state.prompts.mean(loadName), now);
-        if (loads.size() < regionLoadsPerMessage)
+        addEngineEstimates(candidates, m_state.promptLengths.mean(loadName), now);
+        if (loads.size() < maxRegionLoadsPerMessage)
             loads.push_back(summarizeLoad(m_state.settings.region, loadName, candidates));
     };
     for (const auto &[name, pool] : config.pools)
@@ -72,12 +72,12 @@
 // Each instance hands the loads that came with its answers to the region's reporter, which tells
 // all of them to all. By probes alone an instance of 27 heard of an engine after 0.6 s in the
 // median, but of one that it seldom uses after 9 s.
-void Control::shareLoads()
+void Control::sendServerLoads()
 {
     const TimePoint now = m_state.clock.now();
-    const bool reporting = amongFirst(reporterTask, 1);
-    GossipMessage message = emptyNews();
-    message.loads = m_state.servers.collectNewReports(now, loadsPerMessage, reporting);
+    const bool reporting = isResponsibleFor(reporterTask, 1);
+    GossipMessage message = makeEmptyMessage();
+    message.loads = m_state.servers.collectNewReports(now, maxLoadsPerMessage, reporting);
     if (message.loads.empty())
         return;
     if (reporting)
@@ -90,55 +90,55 @@
 
 // Each instance hands what its customers use to the region's reporter, which tells the sums to its
 // counterparts and the sums of all regions to its own.
-void Control::shareUses()
+void Control::sendCustomerUse()
 {
-    if (!m_state.usage.hasCaps())
+    if (!m_state.usageCaps.hasCaps())
         return;
     const TimePoint now = m_state.clock.now();
     const auto reporters = reportersByRegion(m_membership.aliveMembers());
-    GossipMessage message = emptyNews();
-    if (!amongFirst(reporterTask, 1)) {
+    GossipMessage message = makeEmptyMessage();
+    if (!isResponsibleFor(reporterTask, 1)) {
         const auto own = reporters.find(m_state.settings.region);
         if (own == reporters.end())
             return;
-        message.tellsUses = true;
-        message.uses = m_state.usage.localUsage(now);
+        message.hasCustomerUses = true;
+        message.customerUses = m_state.usageCaps.localUsage(now);
         return m_link.sendGossip(own->second.gossipAddress, message);
     }
-    const RegionUsage sum = m_state.usage.aggregateRegion(now);
-    m_state.usage.onRegionUsage(sum, now);
+    const RegionUsage sum = m_state.usageCaps.aggregateRegion(now);
+    m_state.usageCaps.onRegionUsage(sum, now);
     message.regionUses = {sum};
     for (const auto &[region, reporter] : reporters) {
         if (region != m_state.settings.region)
             m_link.sendGossip(reporter.gossipAddress, message);
     }
-    message.regionUses = m_state.usage.regionUsages(now);
+    message.regionUses = m_state.usageCaps.regionUsages(now);
     sendToRegion(message);
 }
 
 // The first instance of each region, by rendezvous, tells its counterparts how busy its region is,
 // and tells its own region what it heard. Probes alone bring that news every four seconds, while a
 // peak fills a region in one.
-void Control::reportRegions()
+void Control::sendRegionLoads()
 {
     const auto table = m_state.routing.read();
-    if (!table || !table->config || !amongFirst(reporterTask, 1))
+    if (!table || !table->config || !isResponsibleFor(reporterTask, 1))
         return;
     const TimePoint now = m_state.clock.now();
-    GossipMessage report = emptyNews();
+    GossipMessage report = makeEmptyMessage();
     report.regionLoads = ownRegionLoads(*table);
-    report.rangeMarks = m_source->marks();
+    report.rangePositions = m_source->positions();
     for (const auto &[region, reporter] : reportersByRegion(m_membership.aliveMembers())) {
         if (region != m_state.settings.region)
             m_link.sendGossip(reporter.gossipAddress, report);
     }
-    report.regionLoads = m_state.regions.all(now);
+    report.regionLoads = m_state.regionLoads.all(now);
     sendToRegion(report);
 }
 
-void Control::watchSilence()
+void Control::checkSilentServers()
 {
-    shareSilence(m_silentServers.tick());
+    broadcastSilenceUpdates(m_silentServers.tick());
     for (const ServerView &view : m_silentServers.dueForStatusCheck()) {
         sendWhole(m_client, makeRegionStatusQuery(m_protocol, view.server),
                   [this, view](const WholeAnswer &answer) {
@@ -148,51 +148,51 @@
                   });
     }
     for (const ServerView &view : m_silentServers.dueForHealthCheck()) {
-        if (!amongFirst(view.server.name, checkersPerServer))
+        if (!isResponsibleFor(view.server.name, checkersPerServer))
             continue;
         const ColdCheck check{view, view.counters->possiblyColdSent};
         sendWhole(m_client, makeRegionHealthCheck(m_state, m_protocol, view.server),
                   [this, check](const WholeAnswer &answer) {
                       m_link.post([this, check, answer] {
-                          shareCold(m_coldServers.onHealthCheckEnded(check, answer));
-                          shareSilence(m_silentServers.onHealthCheckEnded(check.view, answer));
+                          broadcastColdUpdate(m_coldServers.onHealthCheckEnded(check, answer));
+                          broadcastSilenceUpdates(m_silentServers.onHealthCheckEnded(check.view, answer));
                       });
                   });
     }
 }
 
-void Control::watchCold()
+void Control::checkColdServers()
 {
     const auto isResponsible = [this](const ServerView &view) {
-        return amongFirst(view.server.name, checkersPerServer);
+        return isResponsibleFor(view.server.name, checkersPerServer);
     };
     for (const ColdCheck &check : m_coldServers.dueForHealthCheck(isResponsible)) {
         sendWhole(m_client, makeRegionHealthCheck(m_state, m_protocol, check.view.server),
                   [this, check](const WholeAnswer &answer) {
                       m_link.post([this, check, answer] {
-                          shareCold(m_coldServers.onHealthCheckEnded(check, answer));
+                          broadcastColdUpdate(m_coldServers.onHealthCheckEnded(check, answer));
                       });
                   });
     }
 }
 
-void Control::shareCold(const std::optional<ColdUpdate> &news)
+void Control::broadcastColdUpdate(const std::optional<ColdUpdate> &news)
 {
     if (!news)
         return;
-    publishRouting();
-    GossipMessage message = emptyNews();
-    message.colds.push_back(*news);
+    publishRoutingTable();
+    GossipMessage message = makeEmptyMessage();
+    message.coldUpdates.push_back(*news);
     sendTwiceToRegion(std::move(message));
 }
 
-void Control::shareSilence(std::vector<SilenceUpdate> news)
+void Control::broadcastSilenceUpdates(std::vector<SilenceUpdate> news)
 {
     if (news.empty())
         return;
-    publishRouting();
-    GossipMessage message = emptyNews();
-    message.silences = std::move(news);
+    publishRoutingTable();
+    GossipMessage message = makeEmptyMessage();
+    message.silenceUpdates = std::move(news);
     sendToRegion(message);
 }
 
@@ -203,10 +203,10 @@
         return;
     std::vector<const BackendServer *> own;
     for (const auto &[name, server] : config->servers) {
-        if (amongFirst(name, pollersPerServer))
+        if (isResponsibleFor(name, pollersPerServer))
             own.push_back(&server);
     }
-    for (std::size_t i = 0; i < std::min(pollsPerPeriod, own.size()); ++i)
+    for (std::size_t i = 0; i < std::min(maxPollsPerPeriod, own.size()); ++i)
         pollServer(*own[m_pollCursor++ % own.size()]);
 }
 
@@ -218,11 +218,11 @@
     request.limits.firstByte = std::chrono::seconds(1);
     request.limits.total = std::chrono::seconds(1);
     sendWhole(m_client, std::move(request), [this, name = server.name](const WholeAnswer &answer) {
-        m_link.post([this, name, answer] { onPolled(name, answer); });
+        m_link.post([this, name, answer] { onPollResponse(name, answer); });
     });
 }
 
-void Control::onPolled(const std::string &server, const WholeAnswer &answer)
+void Control::onPollResponse(const std::string &server, const WholeAnswer &answer)
 {
     const LoadReport report = reportOf(server, answer);
     if (!m_state.servers.onReport(report, m_state.clock.now()))
@@ -233,7 +233,7 @@
              {"reachable", report.reachable ? "yes" : "no"},
              {"leaving", report.leaving ? "yes" : "no"}});
     // The rest of the region hears of it at once rather than when the next probe comes by.
-    spreadNews();
+    publishAndGossip();
 }
 
 } // namespace ibisnotch
--- a/src/entry/control.cc
+++ b/src/entry/control.cc
@@ -14,18 +14,18 @@
 namespace {
 
 constexpr Duration tickPeriod = std::chrono::milliseconds(100);
-constexpr Duration reportPeriod = std::chrono::milliseconds(500);
+constexpr Duration regionReportPeriod = std::chrono::milliseconds(500);
 // At 48 changed servers a report an instance takes in 3.6 KB a second; a peak fills a region in
 // one.
-constexpr Duration loadPeriod = std::chrono::milliseconds(250);
-constexpr Duration usePeriod = std::chrono::milliseconds(250);
+constexpr Duration loadReportPeriod = std::chrono::milliseconds(250);
+constexpr Duration useReportPeriod = std::chrono::milliseconds(250);
 constexpr Duration pollPeriod = std::chrono::milliseconds(500);
-constexpr Duration publishAtMost = std::chrono::milliseconds(5);
-constexpr Duration publishAtLeast = std::chrono::milliseconds(500);
-constexpr std::size_t marksPerMessage = 8;
-constexpr int newsFanout = 4;
+constexpr Duration minPublishInterval = std::chrono::milliseconds(5);
+constexpr Duration maxPublishInterval = std::chrono::milliseconds(500);
+constexpr std::size_t maxMarksPerMessage = 8;
+constexpr int gossipFanout = 4;
 // Long enough not to be lost with the first, short enough to come while it matters.
-constexpr Duration repeatAfter = std::chrono::milliseconds(20);
+constexpr Duration resendDelay = std::chrono::milliseconds(20);
 
 Member selfMember(const EntryState &state)
 {
@@ -56,15 +56,15 @@
     stop();
 }
 
-void Control::setSource(std::unique_ptr<StateSource> source)
+void Control::setStateSource(std::unique_ptr<StateSource> source)
 {
     m_source = std::move(source);
 }
 
-void Control::spreadNews()
+void Control::publishAndGossip()
 {
-    publishRouting();
-    send(m_membership.broadcast(newsFanout, m_state.random));
+    publishRoutingTable();
+    sendProbes(m_membership.broadcast(gossipFanout, m_state.random));
 }
 
 void Control::start()
@@ -91,44 +91,45 @@
         publishMembers();
         // Everyone hears it directly: a caller must not be pointed here any more, and at this
         // moment there is no time to wait for news to travel by itself.
-        send(m_membership.broadcast(static_cast<int>(m_membership.aliveMembers().size()),
+        sendProbes(
+            m_membership.broadcast(static_cast<int>(m_membership.aliveMembers().size()),
                                     m_state.random));
     });
 }
 
-void Control::shareMarks(std::vector<CrashMark> marks)
+void Control::broadcastCrashMarks(std::vector<CrashMark> marks)
 {
     m_link.post([this, marks = std::move(marks)] {
         // A caller who re-sends is likely to reach the same region next, so all of it hears first
         // hand; the other regions hear through a few of their members.
-        int others = newsFanout;
+        int others = gossipFanout;
         for (const Member &member : m_membership.aliveMembers()) {
             const bool local = member.region == m_state.settings.region;
             if (!local && others-- <= 0)
                 continue;
-            GossipMessage news = emptyNews();
-            news.marks = marks;
+            GossipMessage news = makeEmptyMessage();
+            news.crashMarks = marks;
             m_link.sendGossip(member.gossipAddress, news);
         }
     });
 }
 
-void Control::routingChanged()
+void Control::scheduleRoutingUpdate()
 {
     m_link.post([this] {
         m_routingDirty = true;
-        if (m_state.clock.now() - m_lastPublish >= publishAtMost)
-            publishRouting();
+        if (m_state.clock.now() - m_lastPublishAt >= minPublishInterval)
+            publishRoutingTable();
     });
 }
 
 void Control::tick()
 {
     const TimePoint now = m_state.clock.now();
-    send(m_membership.tick(now, m_state.random));
+    sendProbes(m_membership.tick(now, m_state.random));
     if (m_membership.consumeStall()) {
         logLine(LogPart::control, LogLevel::warn, "Woke from a freeze.");
-        m_pulling = false;
+        m_pullInProgress = false;
     }
     publishMembers();
     if (now >= m_nextPoll) {
@@ -137,24 +138,24 @@
         updateOwnLoad();
     }
     m_source->tick();
-    watchSilence();
-    watchCold();
+    checkSilentServers();
+    checkColdServers();
     // What a customer near its cap takes must be known sooner than its burst is used up.
-    m_state.usage.tick(now);
-    if (now >= m_nextUses || m_state.usage.isNearAnyCap(now)) {
-        m_nextUses = now + usePeriod;
-        shareUses();
+    m_state.usageCaps.tick(now);
+    if (now >= m_nextUseReport || m_state.usageCaps.isNearAnyCap(now)) {
+        m_nextUseReport = now + useReportPeriod;
+        sendCustomerUse();
     }
-    if (now >= m_nextLoads) {
-        m_nextLoads = now + loadPeriod;
-        shareLoads();
+    if (now >= m_nextLoadReport) {
+        m_nextLoadReport = now + loadReportPeriod;
+        sendServerLoads();
     }
-    if (now >= m_nextReport) {
-        m_nextReport = now + reportPeriod;
-        reportRegions();
+    if (now >= m_nextRegionReport) {
+        m_nextRegionReport = now + regionReportPeriod;
+        sendRegionLoads();
     }
-    if (m_routingDirty || now - m_lastPublish > publishAtLeast)
-        publishRouting();
+    if (m_routingDirty || now - m_lastPublishAt > maxPublishInterval)
+        publishRoutingTable();
     m_link.postAfter(tickPeriod, [this] { tick(); });
 }
 
@@ -167,19 +168,19 @@
     return "";
 }
 
-GossipMessage Control::message(Probe probe, const std::string &toRegion)
+GossipMessage Control::makeMessage(Probe probe, const std::string &toRegion)
 {
     GossipMessage message;
     message.probe = std::move(probe);
     message.configVersion = m_state.gate.version();
-    message.rangeMarks = m_source->marks();
+    message.rangePositions = m_source->positions();
     const TimePoint now = m_state.clock.now();
     {
         const std::lock_guard lock(m_state.quarantineMutex);
-        message.marks = m_state.quarantine.recentMarks(now, marksPerMessage);
+        message.crashMarks = m_state.quarantine.recentMarks(now, maxMarksPerMessage);
     }
     if (toRegion == m_state.settings.region) {
-        message.loads = m_state.servers.reports(now, loadsPerMessage, m_loadCursor);
+        message.loads = m_state.servers.reports(now, maxLoadsPerMessage, m_loadCursor);
         return message;
     }
     const auto table = m_state.routing.read();
@@ -190,7 +191,7 @@
 }
 
 // Without a probe's news and loads, for what has to arrive at once.
-GossipMessage Control::emptyNews()
+GossipMessage Control::makeEmptyMessage()
 {
     GossipMessage message;
     message.probe.sender = m_membership.self();
@@ -207,10 +208,10 @@
     }
 }
 
-void Control::send(const std::vector<OutgoingProbe> &probes)
+void Control::sendProbes(const std::vector<OutgoingProbe> &probes)
 {
     for (const OutgoingProbe &item : probes)
-        m_link.sendGossip(item.address, message(item.probe, regionOf(item.address)));
+        m_link.sendGossip(item.address, makeMessage(item.probe, regionOf(item.address)));
 }
 
 void Control::publishMembers()
@@ -218,8 +219,8 @@
     m_state.servers.setSenders(m_membership.possibleSenders(m_state.clock.now()));
     std::vector<Member> members = m_membership.members();
     members.push_back(m_membership.self());
-    shareRetries(members.size());
-    noteUsagePlace();
+    updateRetryBurst(members.size());
+    updateUsagePlace();
     const auto old = m_state.members.read();
     if (old && *old == members)
         return;
@@ -241,16 +242,16 @@
 // The platform bounds retries of all instances together, beside a share of the requests. What each
 // may save up is its part of that; a fifth is left for instances that it does not know yet. Members
 // that died keep their part while they are remembered, since they may only be cut off.
-void Control::shareRetries(std::size_t members)
+void Control::updateRetryBurst(std::size_t members)
 {
     if (m_state.settings.interfaces != Interfaces::platform)
         return;
     constexpr double usedPart = 0.8;
-    m_state.retries.setBurst(usedPart * m_state.settings.retrySlack
-                             / static_cast<double>(std::max<std::size_t>(members, 1)));
+    m_state.retryBudget.setBurst(usedPart * m_state.settings.retrySlack
+                                 / static_cast<double>(std::max<std::size_t>(members, 1)));
 }
 
-void Control::noteUsagePlace()
+void Control::updateUsagePlace()
 {
     const TimePoint now = m_state.clock.now();
     UsageScope scope{m_state.settings.region, {}, m_membership.possibleSenders(now).size()};
@@ -258,14 +259,14 @@
     const auto &regions = config ? config->regions : m_state.settings.regions;
     for (const Region &region : regions)
         scope.regions.push_back(region.name);
-    m_state.usage.setScope(std::move(scope), now);
+    m_state.usageCaps.setScope(std::move(scope), now);
 }
 
-void Control::publishRouting()
+void Control::publishRoutingTable()
 {
     const TimePoint now = m_state.clock.now();
     m_routingDirty = false;
-    m_lastPublish = now;
+    m_lastPublishAt = now;
     m_state.routing.publish(
         std::make_shared<const RoutingTable>(m_state.servers.routingTable(now)));
 }
@@ -289,7 +290,7 @@
 // Whether this instance is among the first of its region for a task, by rendezvous hashing over the
 // members that are alive: tasks are spread without anyone handing them out, and pass on by
 // themselves when an instance goes.
-bool Control::amongFirst(std::string_view key, std::size_t count) const
+bool Control::isResponsibleFor(std::string_view key, std::size_t count) const
 {
     const std::uint64_t hash = hash64(key);
     const std::uint64_t own = rendezvousWeight(m_state.settings.name, hash);
@@ -311,11 +312,11 @@
     return static_cast<std::size_t>(local) + 1;
 }
 
-void Control::tellRegion(RangeUpdate news)
+void Control::broadcastRangeUpdate(RangeUpdate news)
 {
     const bool changes = !news.items.empty();
-    GossipMessage message = emptyNews();
-    message.ranges.push_back(std::move(news));
+    GossipMessage message = makeEmptyMessage();
+    message.rangeUpdates.push_back(std::move(news));
     if (changes)
         return sendTwiceToRegion(std::move(message));
     sendToRegion(message);
@@ -325,74 +326,74 @@
 void Control::sendTwiceToRegion(GossipMessage message)
 {
     sendToRegion(message);
-    m_link.postAfter(repeatAfter, [this, message = std::move(message)] { sendToRegion(message); });
+    m_link.postAfter(resendDelay, [this, message = std::move(message)] { sendToRegion(message); });
 }
 
 void Control::onGossip(const GossipMessage &message, const std::string &from)
 {
     const TimePoint now = m_state.clock.now();
-    send(m_membership.onProbe(message.probe, from, now, m_state.random));
+    sendProbes(m_membership.onProbe(message.probe, from, now, m_state.random));
     if (message.probe.sender.region == m_state.settings.region) {
         for (const CompactLoad &load : message.loads)
             m_routingDirty |= m_state.servers.onReport(load, now);
-        for (const SilenceUpdate &news : message.silences)
+        for (const SilenceUpdate &news : message.silenceUpdates)
             m_silentServers.onUpdate(news);
-        for (const RangeUpdate &news : message.ranges)
-            m_source->onNews(news, from);
-        for (const ColdUpdate &news : message.colds)
+        for (const RangeUpdate &news : message.rangeUpdates)
+            m_source->onRangeUpdate(news, from);
+        for (const ColdUpdate &news : message.coldUpdates)
             m_coldServers.onUpdate(news);
-        if (message.tellsUses)
-            m_state.usage.onInstanceUsage(message.probe.sender.name, message.uses, now);
-        if (!message.silences.empty() || !message.colds.empty())
-            publishRouting();
+        if (message.hasCustomerUses)
+            m_state.usageCaps.onInstanceUsage(message.probe.sender.name, message.customerUses, now);
+        if (!message.silenceUpdates.empty() || !message.coldUpdates.empty())
+            publishRoutingTable();
     }
     for (const RegionLoad &load : message.regionLoads)
-        m_state.regions.onLoad(load, now);
+        m_state.regionLoads.onLoad(load, now);
     for (const RegionUsage &use : message.regionUses)
-        m_state.usage.onRegionUsage(use, now);
+        m_state.usageCaps.onRegionUsage(use, now);
     {
         const std::lock_guard lock(m_state.quarantineMutex);
-        for (const CrashMark &mark : message.marks)
+        for (const CrashMark &mark : message.crashMarks)
             m_state.quarantine.onMark(mark, now);
     }
-    m_source->onMarks(message.rangeMarks, from);
+    m_source->onPositions(message.rangePositions, from);
     // A version that this instance cannot take would otherwise be pulled again with every probe.
-    if (message.configVersion > std::max(m_state.gate.version(), m_turnedDown))
-        pullFrom(from);
+    if (message.configVersion > std::max(m_state.gate.version(), m_rejectedVersion))
+        pullConfigFrom(from);
 }
 
 PeerReply Control::onRequest(const PeerRequest &request)
 {
     PeerReply reply;
-    if (m_state.gate.version() > request.haveVersion)
-        reply.delta = m_state.gate.deltaSince(request.haveVersion);
+    if (m_state.gate.version() > request.knownVersion)
+        reply.delta = m_state.gate.deltaSince(request.knownVersion);
     if (request.wantMembers) {
         reply.members = m_membership.members();
         reply.members.push_back(m_membership.self());
     }
-    reply.ranges = m_source->newsSince(request.ranges);
+    reply.rangeReplies = m_source->updatesSince(request.rangeRequests);
     return reply;
 }
 
-void Control::askPeer(const std::string &gossipAddress, std::vector<RangeRequest> questions,
-                      std::function<void(std::optional<PeerReply>)> done)
+void Control::requestRanges(const std::string &gossipAddress, std::vector<RangeRequest> questions,
+                            std::function<void(std::optional<PeerReply>)> done)
 {
     PeerRequest request;
-    request.haveVersion = m_state.gate.version();
-    request.ranges = std::move(questions);
-    m_link.exchange(gossipAddress, request, std::move(done));
+    request.knownVersion = m_state.gate.version();
+    request.rangeRequests = std::move(questions);
+    m_link.sendRequest(gossipAddress, request, std::move(done));
 }
 
-void Control::pullFrom(const std::string &gossipAddress)
+void Control::pullConfigFrom(const std::string &gossipAddress)
 {
-    if (m_pulling)
+    if (m_pullInProgress)
         return;
-    m_pulling = true;
+    m_pullInProgress = true;
     PeerRequest request;
-    request.haveVersion = m_state.gate.version();
-    request.wantMembers = request.haveVersion == 0;
-    m_link.exchange(gossipAddress, request, [this](const std::optional<PeerReply> &reply) {
-        m_pulling = false;
+    request.knownVersion = m_state.gate.version();
+    request.wantMembers = request.knownVersion == 0;
+    m_link.sendRequest(gossipAddress, request, [this](const std::optional<PeerReply> &reply) {
+        m_pullInProgress = false;
         if (!reply)
             return;
         for (const Member &member : reply->members)
@@ -402,15 +403,15 @@
         const auto before = m_state.gate.document();
         const auto document = applyDelta(before.get(), reply->delta);
         if (document.ok())
-            offer(*document, "peer");
+            offerConfig(*document, "peer");
     });
 }
 
-void Control::offer(const ConfigDocument &document, const std::string &source)
+void Control::offerConfig(const ConfigDocument &document, const std::string &source)
 {
     const ConfigApplyResult result = m_state.gate.apply(document);
     if (result == ConfigApplyResult::invalid) {
-        m_turnedDown = std::max(m_turnedDown, document.version);
+        m_rejectedVersion = std::max(m_rejectedVersion, document.version);
         logLine(
             LogPart::config, LogLevel::error, "Version turned down.",
             {{"version", std::to_string(document.version)}, {"reason", m_state.gate.lastError()}});
@@ -420,16 +421,16 @@
     logLine(LogPart::config, LogLevel::info, "Version in force.",
             {{"version", std::to_string(document.version)}, {"source", source}});
     m_state.servers.setConfig(m_state.gate.config());
-    m_state.usage.setCaps(m_state.gate.config()->customers);
+    m_state.usageCaps.setCaps(m_state.gate.config()->customers);
     m_source->onConfig();
-    publishRouting();
+    publishRoutingTable();
     announceConfig();
 }
 
 void Control::announceConfig()
 {
     // Without loads: a change a few seconds apart would otherwise cost more than it carries.
-    for (OutgoingProbe &item : m_membership.broadcast(newsFanout, m_state.random)) {
+    for (OutgoingProbe &item : m_membership.broadcast(gossipFanout, m_state.random)) {
         GossipMessage news;
         news.probe = std::move(item.probe);
         news.configVersion = m_state.gate.version();
--- a/src/entry/control.h
+++ b/src/entry/control.h
@@ -24,7 +24,7 @@
     ~Control() override;
 
     // Before start().
-    void setSource(std::unique_ptr<StateSource> source);
+    void setStateSource(std::unique_ptr<StateSource> source);
     void start();
     void stop();
 
@@ -37,25 +37,25 @@
     {
         m_link.postAfter(delay, std::move(task));
     }
-    void offer(const ConfigDocument &document, const std::string &source);
+    void offerConfig(const ConfigDocument &document, const std::string &source);
     // Whether this instance is among the first of its region for a task.
-    bool amongFirst(std::string_view key, std::size_t count) const;
+    bool isResponsibleFor(std::string_view key, std::size_t count) const;
     // Instances of the region that are alive, this one included.
     std::size_t regionSize() const;
-    void tellRegion(RangeUpdate news);
+    void broadcastRangeUpdate(RangeUpdate news);
     // Asks another instance for what is newer of these ranges; null if it does not answer.
-    void askPeer(const std::string &gossipAddress, std::vector<RangeRequest> questions,
-                 std::function<void(std::optional<PeerReply>)> done);
+    void requestRanges(const std::string &gossipAddress, std::vector<RangeRequest> questions,
+                       std::function<void(std::optional<PeerReply>)> done);
     // Publishes the routing table and tells a few members at once.
-    void spreadNews();
-    void publishRouting();
+    void publishAndGossip();
+    void publishRoutingTable();
 
     // Tells peers at once that this instance is leaving.
     void leave();
     // Shares marks with all members of the region and some others, at once.
-    void shareMarks(std::vector<CrashMark> marks);
+    void broadcastCrashMarks(std::vector<CrashMark> marks);
     // Publishes a new routing table soon.
-    void routingChanged();
+    void scheduleRoutingUpdate();
 
     TrafficCount traffic() const { return m_link.traffic(); }
     Duration processorTime() const { return m_link.processorTime(); }
@@ -64,32 +64,32 @@
     PeerReply onRequest(const PeerRequest &request) override;
 
 private:
-    static constexpr std::size_t loadsPerMessage = 48; // 19 bytes each
+    static constexpr std::size_t maxLoadsPerMessage = 48; // 19 bytes each
 
     void tick();
-    void send(const std::vector<OutgoingProbe> &probes);
-    GossipMessage message(Probe probe, const std::string &toRegion);
+    void sendProbes(const std::vector<OutgoingProbe> &probes);
+    GossipMessage makeMessage(Probe probe, const std::string &toRegion);
     std::string regionOf(const std::string &gossipAddress) const;
     void publishMembers();
-    void reportRegions();
+    void sendRegionLoads();
     std::vector<RegionLoad> ownRegionLoads(const RoutingTable &table) const;
-    void shareLoads();
-    void shareUses();
-    void noteUsagePlace();
-    void shareRetries(std::size_t members);
+    void sendServerLoads();
+    void sendCustomerUse();
+    void updateUsagePlace();
+    void updateRetryBurst(std::size_t members);
     void updateOwnLoad();
 
-    void watchCold();
-    void shareCold(const std::optional<ColdUpdate> &news);
-    void watchSilence();
-    void shareSilence(std::vector<SilenceUpdate> news);
+    void checkColdServers();
+    void broadcastColdUpdate(const std::optional<ColdUpdate> &news);
+    void checkSilentServers();
+    void broadcastSilenceUpdates(std::vector<SilenceUpdate> news);
     void sendToRegion(const GossipMessage &message);
     void sendTwiceToRegion(GossipMessage message);
-    GossipMessage emptyNews();
+    GossipMessage makeEmptyMessage();
     void pollServers();
     void pollServer(const BackendServer &server);
-    void onPolled(const std::string &server, const WholeAnswer &answer);
-    void pullFrom(const std::string &gossipAddress);
+    void onPollResponse(const std::string &server, const WholeAnswer &answer);
+    void pullConfigFrom(const std::string &gossipAddress);
     void announceConfig();
 
     EntryState &m_state;
@@ -100,14 +100,14 @@
     const Protocol &m_protocol;
     std::size_t m_loadCursor = 0;
     std::size_t m_pollCursor = 0;
-    bool m_pulling = false;
-    std::uint64_t m_turnedDown = 0; // the latest version that was not valid here
+    bool m_pullInProgress = false;
+    std::uint64_t m_rejectedVersion = 0; // the latest version that was not valid here
     bool m_routingDirty = true;
-    TimePoint m_lastPublish{};
+    TimePoint m_lastPublishAt{};
     TimePoint m_nextPoll{};
-    TimePoint m_nextReport{};
-    TimePoint m_nextLoads{};
-    TimePoint m_nextUses{};
+    TimePoint m_nextRegionReport{};
+    TimePoint m_nextLoadReport{};
+    TimePoint m_nextUseReport{};
     std::unique_ptr<StateSource> m_source;
     PeerLink m_link; // last: its thread uses the others
 };
--- a/src/entry/dispatch-end.cc
+++ b/src/entry/dispatch-end.cc
@@ -16,7 +16,7 @@
         cleared = m_state.quarantine.onAnswered(m_exchange->fingerprint);
     }
     if (!cleared.empty())
-        m_control.shareMarks(std::move(cleared));
+        m_control.broadcastCrashMarks(std::move(cleared));
     const ResultCode code = attempt.reader().resultCode();
     const RunState run = resultInfo(code).runState;
     // A peer's refusal covers only its own attempts; an earlier attempt of this instance may have
@@ -114,7 +114,7 @@
     // A request that did not run doesn't count against the customer's usage cap.
     const bool ran = m_attempts > 0 && resultInfo(code).runState != RunState::notRun;
     if (exchange.usageCounted > 0 && !ran)
-        m_state.usage.release(exchange.customer->name, exchange.usageCounted, now);
+        m_state.usageCaps.release(exchange.customer->name, exchange.usageCounted, now);
     RequestRecord record;
     record.service = exchange.service->name;
     record.customer = exchange.customer->name;
--- a/src/entry/dispatch-plan.cc
+++ b/src/entry/dispatch-plan.cc
@@ -41,7 +41,7 @@
         std::erase_if(candidates,
                       [](const Candidate &one) { return one.view->status == ServerStatus::trial; });
     if (m_exchange->prompt.tokens > 0)
-        addEngineEstimates(candidates, m_state.prompts.mean(loadName(*m_exchange)),
+        addEngineEstimates(candidates, m_state.promptLengths.mean(loadName(*m_exchange)),
                            m_state.clock.now());
     return candidates;
 }
@@ -170,7 +170,7 @@
         && m_state.admission.decide(admissionQuestion(input.localLoad, false), m_state.random).code
             != ResultCode::served;
     const RegionDecision answer
-        = m_state.chooser.choose(input, m_state.regions, now, m_state.random);
+        = m_state.regionChooser.choose(input, m_state.regionLoads, now, m_state.random);
     if (answer.residencyForbids)
         return Refusal{ResultCode::residencyForbids, "", {}};
     if (!answer.region)
@@ -184,9 +184,9 @@
         m_routeInputs.listAge = now - table->list.confirmedAt;
     if (m_exchange->prompt.tokens > 0)
         m_routeInputs.maxEventIntervalSeconds
-            = m_state.habits.maxEventIntervalSeconds(loadName(*m_exchange), now);
+            = m_state.streamStatistics.maxEventIntervalSeconds(loadName(*m_exchange), now);
     if (isRemote)
-        m_routeInputs.remoteLoad = m_state.regions.find(*answer.region, loadName(*m_exchange), now);
+        m_routeInputs.remoteLoad = m_state.regionLoads.find(*answer.region, loadName(*m_exchange), now);
     if (admit && !m_admitted) {
         const RegionLoad load
             = isRemote ? m_routeInputs.remoteLoad.value_or(RegionLoad{}) : input.localLoad;
@@ -223,8 +223,8 @@
         const TimePoint now = m_state.clock.now();
         const std::string &pool = loadName(*m_exchange);
         input.eventIntervalSeconds = load.eventIntervalSeconds;
-        input.maxEventIntervalSeconds = m_state.habits.maxEventIntervalSeconds(pool, now);
-        input.lessUrgentServices = m_state.habits.lessUrgentServices(pool, input.priority, now);
+        input.maxEventIntervalSeconds = m_state.streamStatistics.maxEventIntervalSeconds(pool, now);
+        input.lessUrgentServices = m_state.streamStatistics.lessUrgentServices(pool, input.priority, now);
     }
     input.rejectionDraw = m_admissionDraw;
     return input;
--- a/src/entry/dispatch.cc
+++ b/src/entry/dispatch.cc
@@ -192,7 +192,7 @@
     const bool mayMove = !m_isQuarantineTrial
         && decideRetry(retryQuestion(AttemptOutcome::silent, m_runs + 1, hasStarted && !canResume))
             == RetryDecision::retry
-        && m_state.retries.canAcquire(m_exchange->customer->name, loadName(*m_exchange));
+        && m_state.retryBudget.canAcquire(m_exchange->customer->name, loadName(*m_exchange));
     // The request cannot be sent elsewhere, so it would certainly fail if this attempt ended. A
     // server that responds to other requests may still respond to this one.
     if (!mayMove)
@@ -226,8 +226,8 @@
     return hasLocalCapacity
         || (mayUseRemote
             && std::any_of(allowed.begin(), allowed.end(), [&](const std::string &region) {
-                   const auto load
-                       = m_state.regions.find(region, loadName(*m_exchange), m_state.clock.now());
+                   const auto load = m_state.regionLoads.find(region, loadName(*m_exchange),
+                                                              m_state.clock.now());
                    return load && load->outstanding < maxUtilization * load->slots;
                }));
 }
@@ -272,7 +272,7 @@
     noteFirstToken(*target.counters,
                    {tokensToRead(), waiting, m_state.clock.now() - m_attemptStartedAt,
                     m_routeInputs.tokensPerMs});
-    m_state.prompts.onPrompt(loadName(*m_exchange), tokensToRead());
+    m_state.promptLengths.onPrompt(loadName(*m_exchange), tokensToRead());
     removeAwaitedFirstToken(target);
 }
 
@@ -323,12 +323,12 @@
     m_servedBy = target.name;
     if (target.isPeer && target.region != m_state.settings.region) {
         m_forwardedToRegion = true;
-        m_state.regions.onForwarded(target.region, loadName(*m_exchange));
+        m_state.regionLoads.onForwarded(target.region, loadName(*m_exchange));
     }
     if (target.counters) {
         if (m_attempts == 1)
-            m_state.retries.onRequest(m_exchange->customer->name, loadName(*m_exchange),
-                                      m_exchange->config().limits.retryShare);
+            m_state.retryBudget.onRequest(m_exchange->customer->name, loadName(*m_exchange),
+                                          m_exchange->config().limits.retryShare);
         target.counters->trialInProgress = target.trial;
         m_recoveryEpoch = recordSent(*target.counters, m_attemptStartedAt);
         ++target.counters->inFlight;
@@ -348,7 +348,7 @@
     trace(fmt::format("attempt {} at {}: {}", m_attempts, target.name, attemptOutcomeName(end)));
     if (target.isPeer) {
         if (target.region != m_state.settings.region)
-            m_state.regions.onForwardedFinished(target.region, loadName(*m_exchange));
+            m_state.regionLoads.onForwardedFinished(target.region, loadName(*m_exchange));
         return;
     }
     const Duration taken = m_state.clock.now() - m_attemptStartedAt;
@@ -369,7 +369,7 @@
         health = AttemptHealth::good;
     m_state.servers.onAttempt(target.name, health, m_state.clock.now());
     if (failed) {
-        m_control.routingChanged();
+        m_control.scheduleRoutingUpdate();
         logLine(LogPart::request, LogLevel::warn, "Attempt failed.",
                 {{"request", m_exchange->id},
                  {"customer", m_exchange->customer->name},
@@ -403,8 +403,9 @@
     }
     const bool wholeStream = end == AttemptOutcome::answered && attempt.reader().eventCount() > 0;
     if (wholeStream && !target.isPeer && m_attempts == 1)
-        m_state.habits.onEnded(*m_exchange->service, m_exchange->priority, loadName(*m_exchange),
-                               attempt.reader().eventCount(), m_state.clock.now());
+        m_state.streamStatistics.onEnded(*m_exchange->service, m_exchange->priority,
+                                         loadName(*m_exchange), attempt.reader().eventCount(),
+                                         m_state.clock.now());
     if (end == AttemptOutcome::answered)
         return deliver(attempt);
     const bool mayResume = m_exchange->service->isResumable && !m_exchange->lastEventId.empty();
@@ -436,7 +437,7 @@
                                                   m_state.clock.now());
     }
     trace("crash mark for " + target.name);
-    m_control.shareMarks({mark});
+    m_control.broadcastCrashMarks({mark});
     checkServerAlive(target);
 }
 
@@ -462,7 +463,7 @@
                 const std::lock_guard lock(self->m_state.quarantineMutex);
                 cleared = self->m_state.quarantine.onAnswered(self->m_exchange->fingerprint);
             }
-            self->m_control.shareMarks(std::move(cleared));
+            self->m_control.broadcastCrashMarks(std::move(cleared));
         });
     });
 }
@@ -504,7 +505,7 @@
     // An attempt without a connection caused no load on a backend server and needs no retry budget.
     const bool costsNothing = end == AttemptOutcome::notConnected;
     if (!costsNothing
-        && !m_state.retries.tryAcquire(m_exchange->customer->name, loadName(*m_exchange))) {
+        && !m_state.retryBudget.tryAcquire(m_exchange->customer->name, loadName(*m_exchange))) {
         trace("no retry: retry budget exhausted");
         return false;
     }
--- a/src/entry/document-source.cc
+++ b/src/entry/document-source.cc
@@ -53,7 +53,8 @@
 void DocumentSource::watchConfig()
 {
     if (m_watchingConfig
-        || !(m_state.gate.version() == 0 || m_control.amongFirst("config", watchersPerRegion)))
+        || !(m_state.gate.version() == 0
+             || m_control.isResponsibleFor("config", watchersPerRegion)))
         return;
     m_watchingConfig = true;
     const auto done
@@ -71,7 +72,7 @@
         m_configIndex = read.index;
         const auto document = parseDocument(read.value);
         if (document.ok())
-            m_control.offer(*document, "store");
+            m_control.offerConfig(*document, "store");
         else
             logLine(LogPart::config, LogLevel::error, "Document not readable.");
     }
@@ -84,7 +85,7 @@
 {
     const auto config = m_state.gate.config();
     if (!config || m_state.settings.region != config->regions.front().name
-        || !m_control.amongFirst("sweep", 1))
+        || !m_control.isResponsibleFor("sweep", 1))
         return;
     constexpr long long sweptHours = 3;
     const long long newest
@@ -97,7 +98,7 @@
 
 void DocumentSource::watchList()
 {
-    if (m_watchingList || !m_control.amongFirst("list", watchersPerRegion))
+    if (m_watchingList || !m_control.isResponsibleFor("list", watchersPerRegion))
         return;
     m_watchingList = true;
     const auto done
@@ -117,7 +118,7 @@
     if (list.is_object()) {
         m_leavingList = parseNotices(list);
         m_state.servers.onLeavingList(m_leavingList);
-        m_control.spreadNews();
+        m_control.publishAndGossip();
     }
     m_control.postAfter(good ? Duration(0) : watchPause, [this] { m_watchingList = false; });
 }
--- a/src/entry/filters.cc
+++ b/src/entry/filters.cc
@@ -256,7 +256,8 @@
             return std::nullopt;
         const double amount = amountOf(exchange.prompt, *customer.usageCap);
         const UsageDecision decision
-            = m_state.usage.admit(customer, amount, m_state.random.uniform(), m_state.clock.now());
+            = m_state.usageCaps.admit(customer, amount, m_state.random.uniform(),
+                                                         m_state.clock.now());
         if (!decision.fits)
             return Refusal{ResultCode::usageCapReached, reasonText(decision, customer),
                            jitteredRetryAfter(seconds(decision.retryAfter), m_state.random)};
@@ -339,7 +340,7 @@
 // refusal is then temporary, because a caller doesn't retry after a permanent one.
 Refusal unknownCustomerRefusal(EntryState &state, const Exchange &exchange)
 {
-    const bool mayBeOld = state.clock.now() > state.configSureUntil.load();
+    const bool mayBeOld = state.clock.now() > state.configValidUntil.load();
     if (exchange.fromPeer || mayBeOld)
         return {ResultCode::configBehind, "", jitteredRetryAfter(1, state.random)};
     return {ResultCode::unknownCustomer, "unknown key", {}};
--- a/src/entry/gateway.cc
+++ b/src/entry/gateway.cc
@@ -106,7 +106,7 @@
     exchange->table = m_state.routing.read();
     if (!exchange->table || !exchange->table->config)
         return refuse(*exchange, {ResultCode::notReady, "", jitteredRetryAfter(1, m_state.random)});
-    if (m_state.stopping && m_state.clock.now() >= m_state.servesUntil.load())
+    if (m_state.stopping && m_state.clock.now() >= m_state.acceptsRequestsUntil.load())
         return refuse(*exchange, {ResultCode::stopping, "", retryOtherInstanceAfter});
     for (const auto &filter : m_filters) {
         if (const auto refusal = filter->apply(*exchange))
--- a/src/entry/instance.cc
+++ b/src/entry/instance.cc
@@ -41,7 +41,7 @@
     m_controlClient = std::make_unique<HttpClient>();
     m_claimService = m_interfaces->claimService(m_state, *m_controlClient);
     m_control = std::make_unique<Control>(m_state, *m_protocol, *m_controlClient);
-    m_control->setSource(m_interfaces->stateSource(m_state, *m_control, *m_controlClient));
+    m_control->setStateSource(m_interfaces->stateSource(m_state, *m_control, *m_controlClient));
     std::vector<HttpClient *> clients;
     for (const auto &client : m_clients)
         clients.push_back(client.get());
@@ -108,7 +108,7 @@
             {{"inFlight", std::to_string(m_state.inFlight)}});
     const TimePoint began = m_state.clock.now();
     const TimePoint until = began + m_state.settings.drainTime;
-    m_state.servesUntil = began + m_state.settings.drainAcceptTime;
+    m_state.acceptsRequestsUntil = began + m_state.settings.drainAcceptTime;
     m_state.stopping = true;
     m_control->leave();
     HttpServer &callers = *m_servers.back();
--- a/src/entry/operators.cc
+++ b/src/entry/operators.cc
@@ -68,7 +68,7 @@
 json regionsOf(const EntryState &state)
 {
     json list = json::array();
-    for (const RegionLoad &load : state.regions.all(state.clock.now()))
+    for (const RegionLoad &load : state.regionLoads.all(state.clock.now()))
         list.push_back({{"region", load.region},
                         {"load", load.service},
                         {"slots", load.slots},
@@ -147,7 +147,7 @@
 {
     json list = json::array();
     const auto config = state.gate.config();
-    const auto states = state.usage.states(state.clock.now());
+    const auto states = state.usageCaps.states(state.clock.now());
     if (!config)
         return reply(503, {{"error", "no configuration yet"}});
     for (const auto &[name, customer] : config->customers)
@@ -169,7 +169,7 @@
     if (request.method != "POST" || !config || config->servers.count(server) == 0)
         return reply(404, {{"error", "POST with server=NAME of this region expected"}});
     services.state.servers.setDrained(server, drained);
-    services.control.routingChanged();
+    services.control.scheduleRoutingUpdate();
     logLine(LogPart::load, LogLevel::info, drained ? "Drained." : "Undrained.",
             {{"server", server}});
     return reply(200, {{"server", server}, {"drained", drained}});
--- a/src/entry/range-source.cc
+++ b/src/entry/range-source.cc
@@ -64,8 +64,7 @@
         if (range->prefix != m_format->configPrefix())
             continue;
         const PrefixFollower &follower = range->follower;
-        m_state.configSureUntil
-            = follower.lastConfirmedAt() + follower.validity(m_state.clock.now());
+        m_state.configValidUntil = follower.lastConfirmedAt() + follower.validity(m_state.clock.now());
     }
 }
 
@@ -76,7 +75,7 @@
 {
     const bool few = m_control.regionSize() <= allWatchUpTo;
     for (const auto &range : m_ranges) {
-        const bool first = m_control.amongFirst("range " + range->prefix, relaysPerRegion);
+        const bool first = m_control.isResponsibleFor("range " + range->prefix, relaysPerRegion);
         range->role = first ? FollowRole::relay : FollowRole::listener;
         if (few)
             range->role = FollowRole::alone;
@@ -91,14 +90,14 @@
     return found == m_ranges.end() ? nullptr : found->get();
 }
 
-void RangeSource::onNews(const RangeUpdate &news, const std::string &from)
+void RangeSource::onRangeUpdate(const RangeUpdate &news, const std::string &from)
 {
     Range *range = findRange(rangeId(news.prefix));
     if (range == nullptr)
         return;
     takeNews(*range, news, m_state.clock.now());
     if (news.asOf > range->follower.asOf() && !range->follower.isStoreReachable())
-        askPeer(*range, from);
+        requestFromPeer(*range, from);
 }
 
 bool RangeSource::takeNews(Range &range, const RangeUpdate &news, TimePoint at)
@@ -110,7 +109,7 @@
     return !changes.empty();
 }
 
-std::vector<RangePosition> RangeSource::marks() const
+std::vector<RangePosition> RangeSource::positions() const
 {
     std::vector<RangePosition> marks;
     const TimePoint now = m_state.clock.now();
@@ -122,32 +121,32 @@
     return marks;
 }
 
-void RangeSource::onMarks(const std::vector<RangePosition> &marks, const std::string &from)
+void RangeSource::onPositions(const std::vector<RangePosition> &marks, const std::string &from)
 {
     for (const RangePosition &mark : marks) {
         if (Range *range = findRange(mark.range))
-            onMark(*range, mark, from);
+            onPosition(*range, mark, from);
     }
 }
 
 // The store may turn single instances away, or its answers may be lost, for as long as it likes.
 // Without its neighbours' knowledge an instance would go on sending to servers that have been
 // evacuated, are leaving or bear little since they turned cold.
-void RangeSource::onMark(Range &range, const RangePosition &mark, const std::string &from)
+void RangeSource::onPosition(Range &range, const RangePosition &mark, const std::string &from)
 {
     const TimePoint now = m_state.clock.now();
     if (range.follower.onPosition(mark.lastChange, now - std::chrono::milliseconds(mark.ageMs)))
         return;
     if (!range.follower.isStoreReachable())
-        return askPeer(range, from);
+        return requestFromPeer(range, from);
     // The store's own answer is likely to be on its way.
     m_control.postAfter(storeIsFirst, [this, &range, from, missed = mark.lastChange] {
         if (range.follower.asOf() < missed)
-            askPeer(range, from);
+            requestFromPeer(range, from);
     });
 }
 
-void RangeSource::askPeer(Range &range, const std::string &from)
+void RangeSource::requestFromPeer(Range &range, const std::string &from)
 {
     if (range.asking)
         return;
@@ -159,11 +158,11 @@
              {"peer", from},
              {"known", std::to_string(known)},
              {"storeReachable", range.follower.isStoreReachable() ? "yes" : "no"}});
-    m_control.askPeer(from, {{range.id, known}}, [this, &range](const auto &reply) {
+    m_control.requestRanges(from, {{range.id, known}}, [this, &range](const auto &reply) {
         range.asking = false;
         if (!reply)
             return;
-        for (const RangeReply &one : reply->ranges) {
+        for (const RangeReply &one : reply->rangeReplies) {
             if (rangeId(one.update.prefix) == range.id)
                 takeReply(range, one);
         }
@@ -177,10 +176,10 @@
     const bool changed = takeNews(range, news, at);
     // The store may answer nobody in the region, so that this is the first to hear it.
     if (changed && news.base > 0)
-        m_control.tellRegion(makeRangeUpdate(news.prefix, news.base, news.asOf, news.items));
+        m_control.broadcastRangeUpdate(makeRangeUpdate(news.prefix, news.base, news.asOf, news.items));
 }
 
-std::vector<RangeReply> RangeSource::newsSince(const std::vector<RangeRequest> &questions) const
+std::vector<RangeReply> RangeSource::updatesSince(const std::vector<RangeRequest> &questions) const
 {
     std::vector<RangeReply> replies;
     const TimePoint now = m_state.clock.now();
@@ -225,7 +224,7 @@
     if (tells) {
         for (RangeUpdate &news :
              updatesFromResponse(range.prefix, base, watched, range.follower, page))
-            m_control.tellRegion(std::move(news));
+            m_control.broadcastRangeUpdate(std::move(news));
     }
     noteReach(range);
     publish();
@@ -248,7 +247,7 @@
         return remove(item, source);
     Record record = m_format->read(item);
     if (const auto *document = std::get_if<ConfigDocument>(&record))
-        return m_control.offer(*document, std::string(source));
+        return m_control.offerConfig(*document, std::string(source));
     if (auto *server = std::get_if<ListedServer>(&record))
         return applyServer(item, std::move(*server), source);
     if (const auto *evacuated = std::get_if<EvacuatedDataCentre>(&record)) {
@@ -330,7 +329,7 @@
     m_state.servers.setListed(std::move(local), m_state.clock.now());
     m_state.servers.setRemote(std::move(remote));
     m_state.servers.setEvacuated(m_evacuated);
-    m_control.publishRouting();
+    m_control.publishRoutingTable();
 }
 
 } // namespace ibisnotch
--- a/src/entry/range-source.h
+++ b/src/entry/range-source.h
@@ -65,10 +65,11 @@
                 std::unique_ptr<RecordFormat> format);
 
     void tick() override;
-    void onNews(const RangeUpdate &news, const std::string &from) override;
-    std::vector<RangePosition> marks() const override;
-    void onMarks(const std::vector<RangePosition> &marks, const std::string &from) override;
-    std::vector<RangeReply> newsSince(const std::vector<RangeRequest> &questions) const override;
+    void onRangeUpdate(const RangeUpdate &news, const std::string &from) override;
+    std::vector<RangePosition> positions() const override;
+    void onPositions(const std::vector<RangePosition> &marks, const std::string &from) override;
+    std::vector<RangeReply>
+    updatesSince(const std::vector<RangeRequest> &questions) const override;
 
 private:
     struct Range
@@ -86,8 +87,8 @@
 
     void advance(Range &range);
     void onPage(Range &range, StorePage page);
-    void onMark(Range &range, const RangePosition &mark, const std::string &from);
-    void askPeer(Range &range, const std::string &from);
+    void onPosition(Range &range, const RangePosition &mark, const std::string &from);
+    void requestFromPeer(Range &range, const std::string &from);
     // True if it changed anything.
     bool takeNews(Range &range, const RangeUpdate &news, TimePoint at);
     void takeReply(Range &range, const RangeReply &reply);
--- a/src/entry/state-source.h
+++ b/src/entry/state-source.h
@@ -16,12 +16,12 @@
     // Several times a second.
     virtual void tick() = 0;
     // What another instance of the region read of the store; `from` is its gossip address.
-    virtual void onNews(const RangeUpdate &, const std::string & /*from*/) { }
+    virtual void onRangeUpdate(const RangeUpdate &, const std::string & /*from*/) { }
     // How far this instance knows the ranges, and how far another one does.
-    virtual std::vector<RangePosition> marks() const { return {}; }
-    virtual void onMarks(const std::vector<RangePosition> &, const std::string & /*from*/) { }
+    virtual std::vector<RangePosition> positions() const { return {}; }
+    virtual void onPositions(const std::vector<RangePosition> &, const std::string & /*from*/) { }
     // For an instance that asks.
-    virtual std::vector<RangeReply> newsSince(const std::vector<RangeRequest> &) const
+    virtual std::vector<RangeReply> updatesSince(const std::vector<RangeRequest> &) const
     {
         return {};
     }
--- a/src/entry/state.cc
+++ b/src/entry/state.cc
@@ -7,7 +7,7 @@
 namespace {
 
 // Some ten seconds of a busy instance, at about a kilobyte each; the log has those before.
-constexpr std::size_t tracesKept = 512;
+constexpr std::size_t maxTraces = 512;
 
 // Wall time orders the incarnations of an instance that keeps nothing over a restart.
 std::uint64_t newIncarnation()
@@ -27,8 +27,8 @@
 EntryState::EntryState(ProcessSettings from, std::unique_ptr<ConfigFormat> format)
     : settings(std::move(from)), incarnation(newIncarnation()), random(randomSeed()),
       gate(settings.region, std::move(format)), servers(ServerTable::Limits{}),
-      usage(usageLimits(settings)), quarantine(settings.name, Quarantine::Limits{}),
-      issuedKeys(settings.name, incarnation, IssuedKeys::Limits{}), traces(tracesKept)
+      usageCaps(usageLimits(settings)), quarantine(settings.name, Quarantine::Limits{}),
+      issuedKeys(settings.name, incarnation, IssuedKeys::Limits{}), traces(maxTraces)
 {
     // Requests may come before the first look at the members.
     members.publish(std::make_shared<const std::vector<Member>>());
--- a/src/entry/state.h
+++ b/src/entry/state.h
@@ -45,16 +45,16 @@
 
     ActiveConfig gate;
     ServerTable servers;
-    RegionTable regions;
+    RegionTable regionLoads;
     RcuValue<RoutingTable> routing;
     RcuValue<std::vector<Member>> members; // this instance included
 
-    RegionChooser chooser;
+    RegionChooser regionChooser;
     Admission admission;
-    StreamStatistics habits;
-    PromptLengths prompts;
-    RetryBudget retries;
-    UsageCaps usage;
+    StreamStatistics streamStatistics;
+    PromptLengths promptLengths;
+    RetryBudget retryBudget;
+    UsageCaps usageCaps;
     AffinityPicker picker;
 
     std::mutex quarantineMutex;
@@ -68,9 +68,9 @@
 
     // After this nobody has said for long that the configuration in force is the newest. The end of
     // time where no store tells.
-    std::atomic<TimePoint> configSureUntil = TimePoint::max();
+    std::atomic<TimePoint> configValidUntil = TimePoint::max();
     std::atomic<bool> stopping = false;
-    std::atomic<TimePoint> servesUntil{}; // while stopping
+    std::atomic<TimePoint> acceptsRequestsUntil{}; // while stopping
     std::atomic<int> inFlight = 0;
 };
 
--- a/src/net/peer-link.cc
+++ b/src/net/peer-link.cc
@@ -28,38 +28,38 @@
 
 namespace {
 
-constexpr std::size_t largestDatagram = 16384;
-constexpr std::uint32_t largestFrame = 8U << 20;
-constexpr auto exchangeTimeout = std::chrono::seconds(3);
+constexpr std::size_t maxDatagramBytes = 16384;
+constexpr std::uint32_t maxFrameBytes = 8U << 20;
+constexpr auto requestTimeout = std::chrono::seconds(3);
 
-constexpr std::uint16_t protocolWithNews = 2;
-constexpr std::uint16_t protocolWithMarks = 3;
-constexpr std::uint16_t protocolWithUses = 4;
+constexpr std::uint16_t protocolWithRangeUpdates = 2;
+constexpr std::uint16_t protocolWithRangePositions = 3;
+constexpr std::uint16_t protocolWithCustomerUses = 4;
 
 template <typename Archive> void serializeFields(Archive &archive, GossipMessage &message)
 {
     archive(message.protocol, message.probe, message.configVersion, message.loads,
-            message.regionLoads, message.marks);
-    if (message.protocol >= protocolWithNews)
-        archive(message.silences, message.ranges);
-    if (message.protocol >= protocolWithMarks)
-        archive(message.rangeMarks, message.colds);
-    if (message.protocol >= protocolWithUses)
-        archive(message.tellsUses, message.uses, message.regionUses);
+            message.regionLoads, message.crashMarks);
+    if (message.protocol >= protocolWithRangeUpdates)
+        archive(message.silenceUpdates, message.rangeUpdates);
+    if (message.protocol >= protocolWithRangePositions)
+        archive(message.rangePositions, message.coldUpdates);
+    if (message.protocol >= protocolWithCustomerUses)
+        archive(message.hasCustomerUses, message.customerUses, message.regionUses);
 }
 
 template <typename Archive> void serializeFields(Archive &archive, PeerRequest &request)
 {
-    archive(request.protocol, request.haveVersion, request.wantMembers);
-    if (request.protocol >= protocolWithMarks)
-        archive(request.ranges);
+    archive(request.protocol, request.knownVersion, request.wantMembers);
+    if (request.protocol >= protocolWithRangePositions)
+        archive(request.rangeRequests);
 }
 
 template <typename Archive> void serializeFields(Archive &archive, PeerReply &reply)
 {
     archive(reply.protocol, reply.delta, reply.members);
-    if (reply.protocol >= protocolWithMarks)
-        archive(reply.ranges);
+    if (reply.protocol >= protocolWithRangePositions)
+        archive(reply.rangeReplies);
 }
 
 constexpr std::size_t checksumBytes = 8;
@@ -120,9 +120,9 @@
 }
 
 // One TCP connection of either side, with the buffers of its one frame each way.
-struct Conversation
+struct PeerConnection
 {
-    explicit Conversation(asio::io_context &io) : socket(io), timer(io) { }
+    explicit PeerConnection(asio::io_context &io) : socket(io), timer(io) { }
     tcp::socket socket;
     asio::steady_timer timer;
     std::array<unsigned char, 4> head{};
@@ -130,39 +130,38 @@
     std::string out;
 };
 
-using ConversationPtr = std::shared_ptr<Conversation>;
+using PeerConnectionPtr = std::shared_ptr<PeerConnection>;
 using FrameDone = std::function<void(bool)>;
 
-void readFrame(const ConversationPtr &talk, FrameDone done)
+void readFrame(const PeerConnectionPtr &connection, FrameDone done)
 {
-    asio::async_read(talk->socket, asio::buffer(talk->head),
-                     [talk, done = std::move(done)](const asio::error_code &error, std::size_t) {
-                         const std::uint32_t size = frameSize(talk->head);
-                         if (error || size > largestFrame)
-                             return done(false);
-                         talk->in.resize(size);
-                         asio::async_read(talk->socket, asio::buffer(talk->in),
-                                          [talk, done](const asio::error_code &bad, std::size_t) {
-                                              done(!bad);
-                                          });
-                     });
+    asio::async_read(
+        connection->socket, asio::buffer(connection->head),
+        [connection, done = std::move(done)](const asio::error_code &error, std::size_t) {
+            const std::uint32_t size = frameSize(connection->head);
+            if (error || size > maxFrameBytes)
+                return done(false);
+            connection->in.resize(size);
+            asio::async_read(
+                connection->socket, asio::buffer(connection->in),
+                [connection, done](const asio::error_code &bad, std::size_t) { done(!bad); });
+        });
 }
 
-void writeFrame(const ConversationPtr &talk, const std::string &body, FrameDone done)
+void writeFrame(const PeerConnectionPtr &connection, const std::string &body, FrameDone done)
 {
     const auto head = frameHead(body.size());
-    talk->out.assign(head.begin(), head.end());
-    talk->out += body;
-    asio::async_write(talk->socket, asio::buffer(talk->out),
-                      [talk, done = std::move(done)](const asio::error_code &error, std::size_t) {
-                          done(!error);
-                      });
+    connection->out.assign(head.begin(), head.end());
+    connection->out += body;
+    asio::async_write(connection->socket, asio::buffer(connection->out),
+                      [connection, done = std::move(done)](const asio::error_code &error,
+                                                           std::size_t) { done(!error); });
 }
 
-void closeAfterTimeout(const ConversationPtr &talk)
+void closeAfterTimeout(const PeerConnectionPtr &connection)
 {
-    talk->timer.expires_after(exchangeTimeout);
-    talk->timer.async_wait([weak = std::weak_ptr(talk)](const asio::error_code &error) {
+    connection->timer.expires_after(requestTimeout);
+    connection->timer.async_wait([weak = std::weak_ptr(connection)](const asio::error_code &error) {
         asio::error_code ignored;
         if (const auto alive = weak.lock(); alive && !error)
             alive->socket.close(ignored);
@@ -230,8 +229,8 @@
             m_sent += bytes.size();
     }
 
-    void exchange(const std::string &address, const PeerRequest &request,
-                  std::function<void(std::optional<PeerReply>)> done)
+    void sendRequest(const std::string &address, const PeerRequest &request,
+                     std::function<void(std::optional<PeerReply>)> done)
     {
         const auto parsed = parseAddress(address);
         asio::error_code error;
@@ -239,21 +238,21 @@
             = parsed.ok() ? asio::ip::make_address(parsed->host, error) : asio::ip::address();
         if (!parsed.ok() || error)
             return done(std::nullopt);
-        auto talk = std::make_shared<Conversation>(m_io);
-        closeAfterTimeout(talk);
+        auto connection = std::make_shared<PeerConnection>(m_io);
+        closeAfterTimeout(connection);
         const std::string bytes = encode(request);
-        talk->socket.async_connect(
+        connection->socket.async_connect(
             tcp::endpoint(host, parsed->port),
-            [this, talk, bytes, done = std::move(done)](const asio::error_code &refused) {
+            [this, connection, bytes, done = std::move(done)](const asio::error_code &refused) {
                 if (refused)
                     return done(std::nullopt);
                 m_sent += bytes.size();
-                writeFrame(talk, bytes, [this, talk, done](bool written) {
+                writeFrame(connection, bytes, [this, connection, done](bool written) {
                     if (!written)
                         return done(std::nullopt);
-                    readFrame(talk, [this, talk, done](bool read) {
-                        m_received += talk->in.size();
-                        done(read ? decode<PeerReply>(talk->in) : std::nullopt);
+                    readFrame(connection, [this, connection, done](bool read) {
+                        m_received += connection->in.size();
+                        done(read ? decode<PeerReply>(connection->in) : std::nullopt);
                     });
                 });
             });
@@ -267,7 +266,7 @@
 private:
     void receive()
     {
-        m_buffer.resize(largestDatagram);
+        m_buffer.resize(maxDatagramBytes);
         m_udp.async_receive_from(asio::buffer(m_buffer), m_from,
                                  [this](const asio::error_code &error, std::size_t size) {
                                      if (error == asio::error::operation_aborted)
@@ -289,27 +288,28 @@
 
     void accept()
     {
-        auto talk = std::make_shared<Conversation>(m_io);
-        m_acceptor.async_accept(talk->socket, [this, talk](const asio::error_code &error) {
-            if (error == asio::error::operation_aborted)
-                return;
-            if (!error)
-                serve(talk);
-            accept();
-        });
+        auto connection = std::make_shared<PeerConnection>(m_io);
+        m_acceptor.async_accept(connection->socket,
+                                [this, connection](const asio::error_code &error) {
+                                    if (error == asio::error::operation_aborted)
+                                        return;
+                                    if (!error)
+                                        serve(connection);
+                                    accept();
+                                });
     }
 
-    void serve(const ConversationPtr &talk)
+    void serve(const PeerConnectionPtr &connection)
     {
-        closeAfterTimeout(talk);
-        readFrame(talk, [this, talk](bool read) {
-            const auto request = read ? decode<PeerRequest>(talk->in) : std::nullopt;
+        closeAfterTimeout(connection);
+        readFrame(connection, [this, connection](bool read) {
+            const auto request = read ? decode<PeerRequest>(connection->in) : std::nullopt;
             if (!request)
                 return;
             const std::string reply = encode(m_handler.onRequest(*request));
-            m_received += talk->in.size();
+            m_received += connection->in.size();
             m_sent += reply.size();
-            writeFrame(talk, reply, [talk](bool) { talk->timer.cancel(); });
+            writeFrame(connection, reply, [connection](bool) { connection->timer.cancel(); });
         });
     }
 
@@ -337,10 +337,10 @@
     m_d->send(address, encode(message));
 }
 
-void PeerLink::exchange(const std::string &address, const PeerRequest &request,
-                        std::function<void(std::optional<PeerReply>)> done)
+void PeerLink::sendRequest(const std::string &address, const PeerRequest &request,
+                           std::function<void(std::optional<PeerReply>)> done)
 {
-    m_d->exchange(address, request, std::move(done));
+    m_d->sendRequest(address, request, std::move(done));
 }
 
 void PeerLink::post(std::function<void()> task)
--- a/test/control-test.cc
+++ b/test/control-test.cc
@@ -44,7 +44,7 @@
 
     void onGossip(const GossipMessage &message, const std::string &) override
     {
-        newsHeard += static_cast<int>(message.ranges.size());
+        newsHeard += static_cast<int>(message.rangeUpdates.size());
     }
     std::atomic<int> newsHeard = 0;
     PeerReply onRequest(const PeerRequest &) override
@@ -93,7 +93,7 @@
 
     void start()
     {
-        control.setSource(std::make_unique<NoSource>());
+        control.setStateSource(std::make_unique<NoSource>());
         control.start();
     }
 
@@ -131,7 +131,9 @@
     start();
     peer.greet(state.settings.gossipAddress.text());
     waitFor([this] { return state.members.read() && state.members.read()->size() == 2; });
-    control.post([this] { control.tellRegion({"servers/", 4, 5, {{"servers/a", "", 5, true}}}); });
+    control.post([this] {
+        control.broadcastRangeUpdate({"servers/", 4, 5, {{"servers/a", "", 5, true}}});
+    });
     waitFor([this] { return peer.newsHeard >= 2; });
     std::this_thread::sleep_for(100ms);
     CHECK(peer.newsHeard == 2);
--- a/test/peer-link-test.cc
+++ b/test/peer-link-test.cc
@@ -15,11 +15,11 @@
     message.configVersion = 7;
     message.loads.push_back({1, 2, 3, 4, 5, 1});
     message.regionLoads.push_back({"a", "s", 8, 3, 0});
-    message.marks.push_back({"f", "s", "a1", 5, false});
-    message.silences.push_back({9, true});
-    message.ranges.push_back({"servers/", 4, 6, {{"servers/a", "v", 5, false}}});
-    message.rangeMarks.push_back({rangeId("servers/"), 5, 40});
-    message.colds.push_back({9, 3000});
+    message.crashMarks.push_back({"f", "s", "a1", 5, false});
+    message.silenceUpdates.push_back({9, true});
+    message.rangeUpdates.push_back({"servers/", 4, 6, {{"servers/a", "v", 5, false}}});
+    message.rangePositions.push_back({rangeId("servers/"), 5, 40});
+    message.coldUpdates.push_back({9, 3000});
     return message;
 }
 
@@ -34,10 +34,10 @@
 {
     GossipMessage before = sample();
     before.protocol = 1;
-    before.silences.clear();
-    before.ranges.clear();
-    before.rangeMarks.clear();
-    before.colds.clear();
+    before.silenceUpdates.clear();
+    before.rangeUpdates.clear();
+    before.rangePositions.clear();
+    before.coldUpdates.clear();
     CHECK(*decodeGossip(encodeGossip(before)) == before);
 }
 
