--- a/include/ibisnotch/clock.h
+++ b/include/ibisnotch/clock.h
@@ -43,10 +43,10 @@
 };
 
 // Stands still until advanced. Both kinds of time move together.
-class PausedClock final : public Clock
+class ManualClock final : public Clock
 {
 public:
-    explicit PausedClock(WallTime wallStart = WallTime(std::chrono::hours(24 * 365 * 50)))
+    explicit ManualClock(WallTime wallStart = WallTime(std::chrono::hours(24 * 365 * 50)))
         : m_wallStart(wallStart)
     {
     }
