--- a/include/ibisnotch/http-client.h
+++ b/include/ibisnotch/http-client.h
@@ -34,45 +34,45 @@
     // Goes into the request line as it is, in place of the URL's path and query.
     std::string target;
     // On a connection of its own, which is closed afterwards.
-    bool freshConnection = false;
+    bool useNewConnection = false;
     // The longest time that a kept connection may have been idle to be used; 0: any. In whole
     // seconds, as libcurl counts it.
-    std::chrono::seconds longestIdle{0};
+    std::chrono::seconds maxConnectionIdleTime{0};
 
     bool operator==(const OutgoingRequest &) const = default;
 };
 
-enum class TransferEnd {
+enum class TransferOutcome {
     complete,
-    refusedByPeer, // no connection was established
+    notConnected, // no connection was established
     timedOut,
-    brokenOff, // the connection ended before the answer did
+    connectionLost, // the connection ended before the answer did
     cancelled, // by us
 };
 
 struct TransferResult
 {
-    TransferEnd end = TransferEnd::complete;
+    TransferOutcome outcome = TransferOutcome::complete;
     // True once any byte of the request may have reached the other end.
     bool sent = false;
     // True once the answer's status line and headers were delivered to the sink.
-    bool answered = false;
+    bool headReceived = false;
 
     bool operator==(const TransferResult &) const = default;
 };
 
 // Takes one answer, on the client's loop. Returning false cancels the transfer.
-class AnswerSink
+class ResponseSink
 {
 public:
-    virtual ~AnswerSink() = default;
+    virtual ~ResponseSink() = default;
     virtual bool onHead(int status, const Headers &headers) = 0;
     virtual bool onData(std::string_view data) = 0;
     // True while the sink can't take more; the transfer is then held back.
-    virtual bool congested() const { return false; }
+    virtual bool isCongested() const { return false; }
     // Asked when nothing came for `firstByte` or `idle`, and again every tenth of a second: true to
     // wait on, up to `total`.
-    virtual bool waitsOn() { return false; }
+    virtual bool keepsWaiting() { return false; }
     virtual void onEnd(const TransferResult &result) = 0;
 };
 
@@ -88,10 +88,10 @@
     // Sends each request once: libcurl would send it again by itself when a kept connection turns
     // out to be closed, even a POST that the other end may have acted on. Such a transfer ends as
     // broken off instead. May be called from any thread.
-    void send(OutgoingRequest request, std::shared_ptr<AnswerSink> sink);
+    void send(OutgoingRequest request, std::shared_ptr<ResponseSink> sink);
 
     // Ends the transfer that the sink waits for, if it is still under way. From the loop only.
-    void cancel(const AnswerSink *sink);
+    void cancel(const ResponseSink *sink);
 
     // Runs a function on the client's loop, at once or after a delay.
     void post(std::function<void()> task);
@@ -102,19 +102,19 @@
     std::unique_ptr<Private> m_d;
 };
 
-struct WholeAnswer
+struct BufferedResponse
 {
     TransferResult result;
     HttpResponse response;
 
-    bool operator==(const WholeAnswer &) const = default;
+    bool operator==(const BufferedResponse &) const = default;
 };
 
 // Collects a short answer and hands it over in one piece.
-void sendWhole(HttpClient &client, OutgoingRequest request,
-               std::function<void(const WholeAnswer &)> done);
+void sendBuffered(HttpClient &client, OutgoingRequest request,
+                  std::function<void(const BufferedResponse &)> done);
 
 // The same, and waits for it. Not for the client's own loop.
-WholeAnswer sendAndWait(HttpClient &client, OutgoingRequest request);
+BufferedResponse sendAndWait(HttpClient &client, OutgoingRequest request);
 
 } // namespace ibisnotch
--- a/src/entry/attempt.cc
+++ b/src/entry/attempt.cc
@@ -72,12 +72,12 @@
     m_lastEventAt = m_lastReceivedAt;
 }
 
-bool Dispatch::Attempt::waitsOn()
+bool Dispatch::Attempt::keepsWaiting()
 {
     return m_dispatch->shouldKeepWaiting(m_target, *m_reader, m_lastReceivedAt);
 }
 
-bool Dispatch::Attempt::congested() const
+bool Dispatch::Attempt::isCongested() const
 {
     return m_dispatch->m_streamStarted
         && m_dispatch->m_exchange->responder->pendingBytes() > maxPendingToCaller;
@@ -87,17 +87,17 @@
 {
     if (m_stoppedWith)
         return *m_stoppedWith;
-    if (m_dispatch->m_exchange->responder->closed() && result.end != TransferEnd::complete)
+    if (m_dispatch->m_exchange->responder->closed() && result.outcome != TransferOutcome::complete)
         return AttemptOutcome::callerLeft;
-    switch (result.end) {
-    case TransferEnd::complete:
+    switch (result.outcome) {
+    case TransferOutcome::complete:
         return m_reader->attemptEnd();
-    case TransferEnd::refusedByPeer:
+    case TransferOutcome::notConnected:
         return AttemptOutcome::notConnected;
-    case TransferEnd::timedOut:
+    case TransferOutcome::timedOut:
         return AttemptOutcome::silent;
-    case TransferEnd::brokenOff:
-    case TransferEnd::cancelled:
+    case TransferOutcome::connectionLost:
+    case TransferOutcome::cancelled:
         return AttemptOutcome::connectionLost;
     }
     return AttemptOutcome::connectionLost;
--- a/src/entry/attempt.h
+++ b/src/entry/attempt.h
@@ -11,7 +11,7 @@
 
 namespace ibisnotch {
 
-class Dispatch::Attempt final : public AnswerSink
+class Dispatch::Attempt final : public ResponseSink
 {
 public:
     Attempt(std::shared_ptr<Dispatch> dispatch, Target target,
@@ -19,8 +19,8 @@
 
     bool onHead(int status, const Headers &headers) override;
     bool onData(std::string_view data) override;
-    bool congested() const override;
-    bool waitsOn() override;
+    bool isCongested() const override;
+    bool keepsWaiting() override;
     void onEnd(const TransferResult &result) override;
 
     const HttpResponse &answer() const { return m_answer; }
--- a/src/entry/chat-protocol.cc
+++ b/src/entry/chat-protocol.cc
@@ -157,7 +157,7 @@
         return request;
     }
 
-    bool isSameIncarnation(const Target &target, const WholeAnswer &answer) const override
+    bool isSameIncarnation(const Target &target, const BufferedResponse &answer) const override
     {
         const LoadReport report = parseLoadMetrics(target.name, answer.response.body);
         return report.incarnation != 0 && report.incarnation == target.incarnation;
@@ -175,7 +175,7 @@
         if (!exchange.request.query.empty())
             request.url += "?" + exchange.request.query;
         request.body = exchange.request.body;
-        request.freshConnection = exchange.isBooking();
+        request.useNewConnection = exchange.isBooking();
         request.headers.add(std::string(requestIdHeader), exchange.id);
         request.headers.add(
             "Content-Type",
--- a/src/entry/cold-server-monitor.cc
+++ b/src/entry/cold-server-monitor.cc
@@ -43,7 +43,7 @@
 }
 
 std::optional<ColdUpdate> ColdServerMonitor::onHealthCheckEnded(const ColdCheck &check,
-                                                                const WholeAnswer &answer)
+                                                                const BufferedResponse &answer)
 {
     constexpr int statusOk = 200;
     const ServerView &view = check.view;
--- a/src/entry/control-loads.cc
+++ b/src/entry/control-loads.cc
@@ -34,10 +34,10 @@
     return reporters;
 }
 
-LoadReport reportOf(const std::string &server, const WholeAnswer &answer)
+LoadReport reportOf(const std::string &server, const BufferedResponse &answer)
 {
     constexpr int statusOk = 200;
-    if (answer.result.end == TransferEnd::complete && answer.response.status == statusOk)
+    if (answer.result.outcome == TransferOutcome::complete && answer.response.status == statusOk)
         return parseLoadMetrics(server, answer.response.body);
     LoadReport report;
     report.server = server;
@@ -140,24 +140,25 @@
 {
     broadcastSilenceUpdates(m_silentServers.tick());
     for (const ServerView &view : m_silentServers.dueForStatusCheck()) {
-        sendWhole(m_client, makeRegionStatusQuery(m_protocol, view.server),
-                  [this, view](const WholeAnswer &answer) {
-                      m_link.post([this, view, answer] {
+        sendBuffered(m_client, makeRegionStatusQuery(m_protocol, view.server),
+                     [this, view](const BufferedResponse &answer) {
+                         m_link.post(
+                             [this, view, answer] {
                           m_silentServers.onStatusCheckEnded(view, answer);
                       });
-                  });
+                     });
     }
     for (const ServerView &view : m_silentServers.dueForHealthCheck()) {
         if (!isResponsibleFor(view.server.name, checkersPerServer))
             continue;
         const ColdCheck check{view, view.counters->possiblyColdSent};
-        sendWhole(m_client, makeRegionHealthCheck(m_state, m_protocol, view.server),
-                  [this, check](const WholeAnswer &answer) {
-                      m_link.post([this, check, answer] {
-                          broadcastColdUpdate(m_coldServers.onHealthCheckEnded(check, answer));
-                          broadcastSilenceUpdates(m_silentServers.onHealthCheckEnded(check.view, answer));
-                      });
-                  });
+        sendBuffered(m_client, makeRegionHealthCheck(m_state, m_protocol, view.server),
+                     [this, check](const BufferedResponse &answer) {
+                         m_link.post([this, check, answer] {
+                             broadcastColdUpdate(m_coldServers.onHealthCheckEnded(check, answer));
+                             broadcastSilenceUpdates(m_silentServers.onHealthCheckEnded(check.view, answer));
+                         });
+                     });
     }
 }
 
@@ -167,12 +168,12 @@
         return isResponsibleFor(view.server.name, checkersPerServer);
     };
     for (const ColdCheck &check : m_coldServers.dueForHealthCheck(isResponsible)) {
-        sendWhole(m_client, makeRegionHealthCheck(m_state, m_protocol, check.view.server),
-                  [this, check](const WholeAnswer &answer) {
-                      m_link.post([this, check, answer] {
-                          broadcastColdUpdate(m_coldServers.onHealthCheckEnded(check, answer));
-                      });
-                  });
+        sendBuffered(m_client, makeRegionHealthCheck(m_state, m_protocol, check.view.server),
+                     [this, check](const BufferedResponse &answer) {
+                         m_link.post([this, check, answer] {
+                             broadcastColdUpdate(m_coldServers.onHealthCheckEnded(check, answer));
+                         });
+                     });
     }
 }
 
@@ -217,12 +218,13 @@
     request.limits.connect = std::chrono::milliseconds(500);
     request.limits.firstByte = std::chrono::seconds(1);
     request.limits.total = std::chrono::seconds(1);
-    sendWhole(m_client, std::move(request), [this, name = server.name](const WholeAnswer &answer) {
-        m_link.post([this, name, answer] { onPollResponse(name, answer); });
-    });
+    sendBuffered(m_client, std::move(request),
+                 [this, name = server.name](const BufferedResponse &answer) {
+                     m_link.post([this, name, answer] { onPollResponse(name, answer); });
+                 });
 }
 
-void Control::onPollResponse(const std::string &server, const WholeAnswer &answer)
+void Control::onPollResponse(const std::string &server, const BufferedResponse &answer)
 {
     const LoadReport report = reportOf(server, answer);
     if (!m_state.servers.onReport(report, m_state.clock.now()))
--- a/src/entry/control.h
+++ b/src/entry/control.h
@@ -88,7 +88,7 @@
     GossipMessage makeEmptyMessage();
     void pollServers();
     void pollServer(const BackendServer &server);
-    void onPollResponse(const std::string &server, const WholeAnswer &answer);
+    void onPollResponse(const std::string &server, const BufferedResponse &answer);
     void pullConfigFrom(const std::string &gossipAddress);
     void announceConfig();
 
--- a/src/entry/dispatch.cc
+++ b/src/entry/dispatch.cc
@@ -239,7 +239,7 @@
         ? m_protocol.makePeerRequest(exchange, target, remaining())
         : m_protocol.makeServerRequest(exchange, target, remaining());
     request.limits = limitsFor(target);
-    request.freshConnection = request.freshConnection || m_attempts > 1;
+    request.useNewConnection = request.useNewConnection || m_attempts > 1;
     if (!target.isPeer)
         return request;
     ForwardPath path = exchange.path;
@@ -454,17 +454,18 @@
         OutgoingRequest request
             = self->m_protocol.makeHealthCheck(self->m_exchange->config(), server);
         request.limits.total = std::chrono::seconds(1);
-        request.freshConnection = true;
-        sendWhole(self->m_client, std::move(request), [self, target](const WholeAnswer &answer) {
-            if (!self->m_protocol.isSameIncarnation(target, answer))
-                return;
-            std::vector<CrashMark> cleared;
-            {
-                const std::lock_guard lock(self->m_state.quarantineMutex);
-                cleared = self->m_state.quarantine.onAnswered(self->m_exchange->fingerprint);
-            }
-            self->m_control.broadcastCrashMarks(std::move(cleared));
-        });
+        request.useNewConnection = true;
+        sendBuffered(
+            self->m_client, std::move(request), [self, target](const BufferedResponse &answer) {
+                if (!self->m_protocol.isSameIncarnation(target, answer))
+                    return;
+                std::vector<CrashMark> cleared;
+                {
+                    const std::lock_guard lock(self->m_state.quarantineMutex);
+                    cleared = self->m_state.quarantine.onAnswered(self->m_exchange->fingerprint);
+                }
+                self->m_control.broadcastCrashMarks(std::move(cleared));
+            });
     });
 }
 
--- a/src/entry/health-check.cc
+++ b/src/entry/health-check.cc
@@ -14,7 +14,7 @@
 {
     request.limits = {limit, limit, limit, limit};
     // A reused connection may be broken although the server works.
-    request.freshConnection = true;
+    request.useNewConnection = true;
     return request;
 }
 
--- a/src/entry/placement-controller.cc
+++ b/src/entry/placement-controller.cc
@@ -156,12 +156,13 @@
         OutgoingRequest request;
         request.url = "http://" + server.address + "/v1/models";
         request.limits.total = std::chrono::seconds(1);
-        sendWhole(m_client, std::move(request),
-                  [this, name = name](const WholeAnswer &answer) { onObserved(name, answer); });
+        sendBuffered(
+            m_client, std::move(request),
+            [this, name = name](const BufferedResponse &answer) { onObserved(name, answer); });
     }
 }
 
-void PlacementController::onObserved(const std::string &server, const WholeAnswer &answer)
+void PlacementController::onObserved(const std::string &server, const BufferedResponse &answer)
 {
     const auto body = nlohmann::json::parse(answer.response.body, nullptr, false);
     const nlohmann::json::json_pointer first("/data/0");
@@ -212,7 +213,7 @@
              {"model", order.placement.model},
              {"version", order.placement.version},
              {"fence", std::to_string(order.fence)}});
-    sendWhole(m_client, std::move(request), [](const WholeAnswer &) {});
+    sendBuffered(m_client, std::move(request), [](const BufferedResponse &) {});
 }
 
 } // namespace ibisnotch
--- a/src/entry/protocol.h
+++ b/src/entry/protocol.h
@@ -110,10 +110,10 @@
     virtual OutgoingRequest makeStatusQuery(const BackendServer &server) const = 0;
     // Returns true if the response to a health check comes from the server process that `target`
     // names, not from one that was started later.
-    virtual bool isSameIncarnation(const Target &target, const WholeAnswer &answer) const = 0;
+    virtual bool isSameIncarnation(const Target &target, const BufferedResponse &answer) const = 0;
     // Returns how much longer the server is cold according to that response; empty if it is warm
     // or the response doesn't say so.
-    virtual std::optional<Duration> remainingColdTime(const WholeAnswer &) const
+    virtual std::optional<Duration> remainingColdTime(const BufferedResponse &) const
     {
         return std::nullopt;
     }
--- a/src/entry/silent-server-monitor.cc
+++ b/src/entry/silent-server-monitor.cc
@@ -160,9 +160,9 @@
     return due;
 }
 
-void SilentServerMonitor::onStatusCheckEnded(const ServerView &view, const WholeAnswer &answer)
+void SilentServerMonitor::onStatusCheckEnded(const ServerView &view, const BufferedResponse &answer)
 {
-    const bool answered = answer.result.end == TransferEnd::complete;
+    const bool answered = answer.result.outcome == TransferOutcome::complete;
     recordHealthCheck(*view.counters, answered, m_state.clock.now());
     if (answered)
         return;
@@ -190,7 +190,7 @@
 }
 
 std::vector<SilenceUpdate> SilentServerMonitor::onHealthCheckEnded(const ServerView &view,
-                                                                   const WholeAnswer &answer)
+                                                                   const BufferedResponse &answer)
 {
     constexpr int statusOk = 200;
     const std::string &name = view.server.name;
--- a/src/entry/silent-server-monitor.h
+++ b/src/entry/silent-server-monitor.h
@@ -28,7 +28,7 @@
     // running there are aborted.
     std::vector<ServerView> dueForStatusCheck();
     // Records the result of a status check. A response of any kind shows that the server works.
-    void onStatusCheckEnded(const ServerView &view, const WholeAnswer &answer);
+    void onStatusCheckEnded(const ServerView &view, const BufferedResponse &answer);
 
     // Returns the servers taken out of use that need a health check now. The caller checks only
     // those that it is responsible for.
@@ -36,7 +36,7 @@
     // Evaluates the response to a health check. Returns the updates for the region's other
     // instances.
     std::vector<SilenceUpdate> onHealthCheckEnded(const ServerView &view,
-                                                  const WholeAnswer &answer);
+                                                  const BufferedResponse &answer);
 
 private:
     struct SilentServer
--- a/src/ibisnotch-burn.cc
+++ b/src/ibisnotch-burn.cc
@@ -62,8 +62,8 @@
         OutgoingRequest request;
         request.url = "http://" + entry + "/admin/burn";
         request.limits.total = std::chrono::seconds(3);
-        const WholeAnswer answer = sendAndWait(client, request);
-        if (answer.result.end != TransferEnd::complete || answer.response.status != 200)
+        const BufferedResponse answer = sendAndWait(client, request);
+        if (answer.result.outcome != TransferOutcome::complete || answer.response.status != 200)
             report.missing.push_back("instance " + entry + ": no answer, its requests are missing");
         else
             parts.push_back(parseBurn(answer.response.body));
--- a/src/ibisnotchctl.cc
+++ b/src/ibisnotchctl.cc
@@ -210,7 +210,8 @@
         return exitOk;
     }
 
-    WholeAnswer ask(const std::string &entry, const std::string &method, const std::string &path)
+    BufferedResponse ask(const std::string &entry, const std::string &method,
+                         const std::string &path)
     {
         OutgoingRequest request;
         request.method = method;
@@ -227,7 +228,7 @@
         std::string shown;
         std::size_t answered = 0;
         for (const std::string &entry : m_options.entries) {
-            const WholeAnswer answer = ask(entry, "GET", path);
+            const BufferedResponse answer = ask(entry, "GET", path);
             const auto body = nlohmann::json::parse(answer.response.body, nullptr, false);
             if (answer.response.status != 200 || !body.is_object()) {
                 shown += fmt::format("{}: no answer\n", entry);
@@ -284,7 +285,7 @@
         nlohmann::json all = nlohmann::json::array();
         std::string text;
         for (const std::string &entry : m_options.entries) {
-            const WholeAnswer answer = ask(entry, "GET", "/admin/explain?id=" + word(1));
+            const BufferedResponse answer = ask(entry, "GET", "/admin/explain?id=" + word(1));
             const auto body = nlohmann::json::parse(answer.response.body, nullptr, false);
             if (answer.response.status != 200 || !body.is_object())
                 continue;
--- a/src/load/load-control.cc
+++ b/src/load/load-control.cc
@@ -73,7 +73,7 @@
             if (way == "direct")
                 request.url = "http://" + options.engine + "/orders";
             const auto start = std::chrono::steady_clock::now();
-            const WholeAnswer answer = sendAndWait(client, std::move(request));
+            const BufferedResponse answer = sendAndWait(client, std::move(request));
             times.push_back(millisecondsSince(start));
             unknown += field(answer, "X-Run-State") == "unknown" ? 1 : 0;
         }
--- a/src/load/load-demo.cc
+++ b/src/load/load-demo.cc
@@ -53,7 +53,7 @@
         OutgoingRequest request;
         request.url = "http://" + m_entry + "/v1/entries?keys=1";
         request.headers = {{"Authorization", "Bearer arena-token"}};
-        const WholeAnswer answer = sendAndWait(m_client, request);
+        const BufferedResponse answer = sendAndWait(m_client, request);
         const auto body = nlohmann::json::parse(answer.response.body, nullptr, false);
         if (!body.is_object() || !body.contains("instances") || body["instances"].empty()
             || body["booking_keys"].empty()) {
@@ -76,13 +76,13 @@
 
     void show(const std::string &what, const OutgoingRequest &request)
     {
-        const WholeAnswer answer = sendAndWait(m_client, request);
+        const BufferedResponse answer = sendAndWait(m_client, request);
         const std::string &body = answer.response.body;
         std::size_t events = 0;
         for (std::size_t at = body.find("data: "); at != std::string::npos;
              at = body.find("data: ", at + 1))
             ++events;
-        const bool whole = answer.result.end == TransferEnd::complete;
+        const bool whole = answer.result.outcome == TransferOutcome::complete;
         fmt::print("{:<22} status {} result {} ({}) by {}{} request {}\n", what,
                    answer.response.status, field(answer, "X-Result-Code"),
                    field(answer, "X-Run-State"), field(answer, "X-Served-By"),
--- a/src/load/load-requests.cc
+++ b/src/load/load-requests.cc
@@ -43,7 +43,7 @@
     return request;
 }
 
-std::string field(const WholeAnswer &answer, const char *name)
+std::string field(const BufferedResponse &answer, const char *name)
 {
     return answer.response.headers.get(name).value_or("-");
 }
--- a/src/load/load-throughput.cc
+++ b/src/load/load-throughput.cc
@@ -26,7 +26,7 @@
     bool good = false;
 };
 
-class TimingSink final : public AnswerSink
+class TimingSink final : public ResponseSink
 {
 public:
     explicit TimingSink(std::function<void(const Sample &)> done) : m_done(std::move(done)) { }
@@ -44,7 +44,7 @@
     void onEnd(const TransferResult &result) override
     {
         m_sample.total = secondsSince(m_start);
-        m_sample.good = result.end == TransferEnd::complete && m_status == 200;
+        m_sample.good = result.outcome == TransferOutcome::complete && m_status == 200;
         m_done(m_sample);
     }
 
--- a/src/load/load.h
+++ b/src/load/load.h
@@ -34,7 +34,7 @@
 OutgoingRequest call(const std::string &address, const std::string &token,
                      const std::string &method, const std::string &service, const std::string &key,
                      const std::string &body);
-std::string field(const WholeAnswer &answer, const char *name);
+std::string field(const BufferedResponse &answer, const char *name);
 
 double secondsSince(std::chrono::steady_clock::time_point start);
 double quantile(std::vector<double> values, double part);
--- a/src/net/consul-store.cc
+++ b/src/net/consul-store.cc
@@ -32,16 +32,16 @@
 }
 
 // What is certain of a call that brought no usable answer.
-StoreEnd endOfFailure(const WholeAnswer &answer)
+StoreEnd endOfFailure(const BufferedResponse &answer)
 {
-    const bool refused
-        = answer.result.end == TransferEnd::complete && answer.response.status == statusTooMany;
+    const bool refused = answer.result.outcome == TransferOutcome::complete
+        && answer.response.status == statusTooMany;
     return refused || !answer.result.sent ? StoreEnd::notApplied : StoreEnd::unknown;
 }
 
-StoreRead parseRead(const WholeAnswer &answer)
+StoreRead parseRead(const BufferedResponse &answer)
 {
-    const bool complete = answer.result.end == TransferEnd::complete;
+    const bool complete = answer.result.outcome == TransferOutcome::complete;
     if (complete && answer.response.status == statusNotFound)
         return {StoreEnd::notFound, "", 0};
     if (!complete || answer.response.status != statusOk)
@@ -57,9 +57,9 @@
     return read;
 }
 
-StoreWrite parseTransaction(const WholeAnswer &answer)
+StoreWrite parseTransaction(const BufferedResponse &answer)
 {
-    const bool complete = answer.result.end == TransferEnd::complete;
+    const bool complete = answer.result.outcome == TransferOutcome::complete;
     if (complete && answer.response.status == statusConflict)
         return {StoreEnd::conflict, 0};
     if (!complete || answer.response.status != statusOk)
@@ -71,17 +71,17 @@
     return {StoreEnd::ok, body[index].get<std::uint64_t>()};
 }
 
-StoreWrite parseBoolean(const WholeAnswer &answer)
+StoreWrite parseBoolean(const BufferedResponse &answer)
 {
-    const bool complete = answer.result.end == TransferEnd::complete;
+    const bool complete = answer.result.outcome == TransferOutcome::complete;
     if (!complete || answer.response.status != statusOk)
         return {endOfFailure(answer), 0};
     return {answer.response.body.rfind("true", 0) == 0 ? StoreEnd::ok : StoreEnd::conflict, 0};
 }
 
-StoreLease parseLease(const WholeAnswer &answer, const std::string &id)
+StoreLease parseLease(const BufferedResponse &answer, const std::string &id)
 {
-    const bool complete = answer.result.end == TransferEnd::complete;
+    const bool complete = answer.result.outcome == TransferOutcome::complete;
     if (complete && answer.response.status == statusNotFound)
         return {StoreEnd::notFound, ""};
     if (!complete || answer.response.status != statusOk)
@@ -103,7 +103,7 @@
     void read(const std::string &key, std::function<void(const StoreRead &)> done) override
     {
         call("GET", "kv/" + key, "", shortLimits(),
-             [done](const WholeAnswer &answer) { done(parseRead(answer)); });
+             [done](const BufferedResponse &answer) { done(parseRead(answer)); });
     }
 
     void watch(const std::string &key, std::uint64_t afterIndex, Duration longest,
@@ -114,7 +114,7 @@
         limits.firstByte += longest;
         limits.total += longest;
         call("GET", fmt::format("kv/{}?index={}&wait={}s", key, afterIndex, seconds.count()), "",
-             limits, [done](const WholeAnswer &answer) { done(parseRead(answer)); });
+             limits, [done](const BufferedResponse &answer) { done(parseRead(answer)); });
     }
 
     void compareAndSet(const std::string &key, std::uint64_t expectedIndex,
@@ -127,13 +127,13 @@
                                           {"Value", encode(value)},
                                           {"Index", expectedIndex}}}}});
         call("PUT", "txn", body.dump(), shortLimits(),
-             [done](const WholeAnswer &answer) { done(parseTransaction(answer)); });
+             [done](const BufferedResponse &answer) { done(parseTransaction(answer)); });
     }
 
     void remove(const std::string &key, std::function<void(const StoreWrite &)> done) override
     {
         call("DELETE", "kv/" + key, "", shortLimits(),
-             [done](const WholeAnswer &answer) { done(parseBoolean(answer)); });
+             [done](const BufferedResponse &answer) { done(parseBoolean(answer)); });
     }
 
     void grantLease(Duration life, std::function<void(const StoreLease &)> done) override
@@ -143,25 +143,25 @@
                         {"Behavior", "delete"},
                         {"LockDelay", "0s"}};
         call("PUT", "session/create", body.dump(), shortLimits(),
-             [done](const WholeAnswer &answer) { done(parseLease(answer, "")); });
+             [done](const BufferedResponse &answer) { done(parseLease(answer, "")); });
     }
 
     void renewLease(const std::string &id, std::function<void(const StoreLease &)> done) override
     {
         call("PUT", "session/renew/" + id, "", shortLimits(),
-             [done, id](const WholeAnswer &answer) { done(parseLease(answer, id)); });
+             [done, id](const BufferedResponse &answer) { done(parseLease(answer, id)); });
     }
 
     void acquire(const std::string &key, const std::string &leaseId, const std::string &value,
                  std::function<void(const StoreWrite &)> done) override
     {
         call("PUT", fmt::format("kv/{}?acquire={}", key, leaseId), value, shortLimits(),
-             [done](const WholeAnswer &answer) { done(parseBoolean(answer)); });
+             [done](const BufferedResponse &answer) { done(parseBoolean(answer)); });
     }
 
 private:
     void call(const std::string &method, const std::string &path, std::string body,
-              const TransferLimits &limits, std::function<void(const WholeAnswer &)> done)
+              const TransferLimits &limits, std::function<void(const BufferedResponse &)> done)
     {
         OutgoingRequest request;
         request.method = method;
@@ -170,8 +170,8 @@
         request.limits = limits;
         // libcurl repeats a request by itself when a kept connection proves closed. A repeated
         // compare-and-swap that did take effect the first time would come back as a conflict.
-        request.freshConnection = method != "GET";
-        sendWhole(m_client, std::move(request), std::move(done));
+        request.useNewConnection = method != "GET";
+        sendBuffered(m_client, std::move(request), std::move(done));
     }
 
     HttpClient &m_client;
--- a/src/net/http-client.cc
+++ b/src/net/http-client.cc
@@ -18,16 +18,16 @@
 
 namespace {
 
-constexpr std::size_t maxCollectedBytes = 4U << 20;
-constexpr auto congestionCheck = std::chrono::milliseconds(20);
-constexpr auto healthCheckInterval = std::chrono::milliseconds(100);
+constexpr std::size_t maxBufferedBytes = 4U << 20;
+constexpr auto congestionCheckInterval = std::chrono::milliseconds(20);
+constexpr auto keepWaitingInterval = std::chrono::milliseconds(100);
 constexpr long maxIdleConnections = 256;
 // Events of a stream are some hundred bytes, and each transfer under way keeps a buffer of its own.
 constexpr long receiveBufferBytes = 4096;
 
-struct SocketWatch
+struct WatchedSocket
 {
-    explicit SocketWatch(asio::io_context &io) : descriptor(io) { }
+    explicit WatchedSocket(asio::io_context &io) : descriptor(io) { }
     asio::posix::stream_descriptor descriptor;
     int wanted = 0;
     bool reading = false;
@@ -50,19 +50,19 @@
     {
         Private *owner = nullptr;
         OutgoingRequest request;
-        std::shared_ptr<AnswerSink> sink;
+        std::shared_ptr<ResponseSink> sink;
         CURL *easy = nullptr;
         curl_slist *headerList = nullptr;
-        Headers answerHeaders;
+        Headers responseHeaders;
         int status = 0;
-        bool answered = false;
+        bool headReceived = false;
         bool cancelled = false;
         bool timedOut = false;
         bool paused = false;
         int sends = 0;
-        std::chrono::steady_clock::time_point started;
-        std::chrono::steady_clock::time_point progress;
-        std::chrono::steady_clock::time_point waitsUntil; // by the sink's leave
+        std::chrono::steady_clock::time_point startedAt;
+        std::chrono::steady_clock::time_point lastProgressAt;
+        std::chrono::steady_clock::time_point keepsWaitingUntil; // by the sink's leave
         std::unique_ptr<asio::steady_timer> timer;
     };
 
@@ -93,15 +93,15 @@
         curl_multi_cleanup(m_multi);
     }
 
-    void start(OutgoingRequest request, std::shared_ptr<AnswerSink> sink)
+    void start(OutgoingRequest request, std::shared_ptr<ResponseSink> sink)
     {
         auto transfer = std::make_shared<Transfer>();
         transfer->owner = this;
         transfer->request = std::move(request);
         transfer->sink = std::move(sink);
         transfer->easy = curl_easy_init();
-        transfer->started = std::chrono::steady_clock::now();
-        transfer->progress = transfer->started;
+        transfer->startedAt = std::chrono::steady_clock::now();
+        transfer->lastProgressAt = transfer->startedAt;
         transfer->timer = std::make_unique<asio::steady_timer>(m_io);
         configure(*transfer);
         m_transfers[transfer->easy] = transfer;
@@ -109,7 +109,7 @@
         armTimer(transfer);
     }
 
-    void cancel(const AnswerSink *sink)
+    void cancel(const ResponseSink *sink)
     {
         for (const auto &[easy, transfer] : m_transfers) {
             if (transfer->sink.get() != sink)
@@ -140,9 +140,9 @@
         curl_easy_setopt(easy, CURLOPT_URL, request.url.c_str());
         if (!request.target.empty())
             curl_easy_setopt(easy, CURLOPT_REQUEST_TARGET, request.target.c_str());
-        if (request.longestIdle.count() > 0)
+        if (request.maxConnectionIdleTime.count() > 0)
             curl_easy_setopt(easy, CURLOPT_MAXAGE_CONN,
-                             static_cast<long>(request.longestIdle.count()));
+                             static_cast<long>(request.maxConnectionIdleTime.count()));
         curl_easy_setopt(easy, CURLOPT_PREREQFUNCTION, &Private::onSend);
         curl_easy_setopt(easy, CURLOPT_PREREQDATA, &transfer);
         curl_easy_setopt(easy, CURLOPT_PROXY, "");
@@ -163,7 +163,7 @@
         curl_easy_setopt(easy, CURLOPT_WRITEDATA, &transfer);
         curl_easy_setopt(easy, CURLOPT_HEADERFUNCTION, &Private::onHeader);
         curl_easy_setopt(easy, CURLOPT_HEADERDATA, &transfer);
-        if (request.freshConnection) {
+        if (request.useNewConnection) {
             curl_easy_setopt(easy, CURLOPT_FRESH_CONNECT, 1L);
             curl_easy_setopt(easy, CURLOPT_FORBID_REUSE, 1L);
         }
@@ -180,14 +180,14 @@
         auto &transfer = *static_cast<Transfer *>(user);
         const std::string line(absl::StripAsciiWhitespace(absl::string_view(data, size * count)));
         if (line.rfind("HTTP/", 0) == 0) {
-            transfer.answerHeaders = {};
+            transfer.responseHeaders = {};
             return size * count;
         }
         if (!line.empty()) {
             const std::pair<std::string, std::string> field
                 = absl::StrSplit(line, absl::MaxSplits(':', 1));
-            transfer.answerHeaders.add(field.first,
-                                       std::string(absl::StripAsciiWhitespace(field.second)));
+            transfer.responseHeaders.add(field.first,
+                                         std::string(absl::StripAsciiWhitespace(field.second)));
             return size * count;
         }
         return deliverHead(transfer) ? size * count : 0;
@@ -197,12 +197,12 @@
     {
         long status = 0;
         curl_easy_getinfo(transfer.easy, CURLINFO_RESPONSE_CODE, &status);
-        transfer.progress = std::chrono::steady_clock::now();
+        transfer.lastProgressAt = std::chrono::steady_clock::now();
         if (status < 200)
             return true;
         transfer.status = static_cast<int>(status);
-        transfer.answered = true;
-        if (!transfer.sink->onHead(transfer.status, transfer.answerHeaders))
+        transfer.headReceived = true;
+        if (!transfer.sink->onHead(transfer.status, transfer.responseHeaders))
             transfer.cancelled = true;
         return !transfer.cancelled;
     }
@@ -210,8 +210,8 @@
     static std::size_t onBody(char *data, std::size_t size, std::size_t count, void *user)
     {
         auto &transfer = *static_cast<Transfer *>(user);
-        transfer.progress = std::chrono::steady_clock::now();
-        if (transfer.sink->congested()) {
+        transfer.lastProgressAt = std::chrono::steady_clock::now();
+        if (transfer.sink->isCongested()) {
             transfer.paused = true;
             return CURL_WRITEFUNC_PAUSE;
         }
@@ -242,7 +242,7 @@
         m_timer.expires_after(std::chrono::milliseconds(milliseconds));
         m_timer.async_wait([this](const asio::error_code &error) {
             if (!error)
-                act(CURL_SOCKET_TIMEOUT, 0);
+                processSocket(CURL_SOCKET_TIMEOUT, 0);
         });
     }
 
@@ -258,14 +258,14 @@
             return;
         }
         if (!watch) {
-            watch = std::make_shared<SocketWatch>(m_io);
+            watch = std::make_shared<WatchedSocket>(m_io);
             watch->descriptor.assign(fd);
         }
         watch->wanted = what;
-        arm(fd, watch);
+        awaitSocket(fd, watch);
     }
 
-    void arm(curl_socket_t fd, const std::shared_ptr<SocketWatch> &watch)
+    void awaitSocket(curl_socket_t fd, const std::shared_ptr<WatchedSocket> &watch)
     {
         if ((watch->wanted & CURL_POLL_IN) != 0 && !watch->reading) {
             watch->reading = true;
@@ -277,7 +277,7 @@
         }
     }
 
-    void waitFor(curl_socket_t fd, const std::shared_ptr<SocketWatch> &watch,
+    void waitFor(curl_socket_t fd, const std::shared_ptr<WatchedSocket> &watch,
                  asio::posix::stream_descriptor::wait_type type)
     {
         watch->descriptor.async_wait(type, [this, fd, watch, type](const asio::error_code &error) {
@@ -288,13 +288,13 @@
             const int flags = error ? CURL_CSELECT_ERR : read ? CURL_CSELECT_IN : CURL_CSELECT_OUT;
             const int wantedBit = read ? CURL_POLL_IN : CURL_POLL_OUT;
             if ((watch->wanted & wantedBit) != 0)
-                act(fd, flags);
+                processSocket(fd, flags);
             if (!watch->removed && !error)
-                arm(fd, watch);
+                awaitSocket(fd, watch);
         });
     }
 
-    void act(curl_socket_t fd, int flags)
+    void processSocket(curl_socket_t fd, int flags)
     {
         int running = 0;
         curl_multi_socket_action(m_multi, fd, flags, &running);
@@ -316,8 +316,8 @@
         const std::shared_ptr<Transfer> transfer = found->second;
         TransferResult result;
         result.sent = transfer->sends > 0;
-        result.answered = transfer->answered;
-        result.end = endOf(*transfer, code, result.sent);
+        result.headReceived = transfer->headReceived;
+        result.outcome = outcomeOf(*transfer, code, result.sent);
         transfer->timer->cancel();
         curl_multi_remove_handle(m_multi, easy);
         curl_easy_cleanup(easy);
@@ -326,30 +326,30 @@
         transfer->sink->onEnd(result);
     }
 
-    static TransferEnd endOf(const Transfer &transfer, CURLcode code, bool sent)
+    static TransferOutcome outcomeOf(const Transfer &transfer, CURLcode code, bool sent)
     {
         if (transfer.cancelled)
-            return TransferEnd::cancelled;
+            return TransferOutcome::cancelled;
         if (transfer.timedOut)
-            return sent ? TransferEnd::timedOut : TransferEnd::refusedByPeer;
+            return sent ? TransferOutcome::timedOut : TransferOutcome::notConnected;
         if (code == CURLE_OK)
-            return TransferEnd::complete;
-        return sent ? TransferEnd::brokenOff : TransferEnd::refusedByPeer;
+            return TransferOutcome::complete;
+        return sent ? TransferOutcome::connectionLost : TransferOutcome::notConnected;
     }
 
     std::chrono::steady_clock::time_point nextLimit(const Transfer &transfer) const
     {
         const TransferLimits &limits = transfer.request.limits;
         auto next = std::chrono::steady_clock::time_point::max();
-        if (!transfer.answered && limits.firstByte.count() > 0)
-            next = std::min(next, transfer.started + limits.firstByte);
-        if (transfer.answered && !transfer.paused && limits.idle.count() > 0)
-            next = std::min(next, transfer.progress + limits.idle);
-        next = std::max(next, transfer.waitsUntil);
+        if (!transfer.headReceived && limits.firstByte.count() > 0)
+            next = std::min(next, transfer.startedAt + limits.firstByte);
+        if (transfer.headReceived && !transfer.paused && limits.idle.count() > 0)
+            next = std::min(next, transfer.lastProgressAt + limits.idle);
+        next = std::max(next, transfer.keepsWaitingUntil);
         if (limits.total.count() > 0)
-            next = std::min(next, transfer.started + limits.total);
+            next = std::min(next, transfer.startedAt + limits.total);
         if (transfer.paused)
-            next = std::min(next, std::chrono::steady_clock::now() + congestionCheck);
+            next = std::min(next, std::chrono::steady_clock::now() + congestionCheckInterval);
         return next;
     }
 
@@ -368,14 +368,14 @@
 
     void checkLimits(const std::shared_ptr<Transfer> &transfer)
     {
-        resumeIfTaken(*transfer);
+        resumeIfSinkReady(*transfer);
         if (m_transfers.count(transfer->easy) == 0)
             return;
         const auto now = std::chrono::steady_clock::now();
         const Duration total = transfer->request.limits.total;
-        const bool over = total.count() > 0 && now >= transfer->started + total;
-        if (nextLimit(*transfer) <= now && !over && transfer->sink->waitsOn())
-            transfer->waitsUntil = now + healthCheckInterval;
+        const bool totalExpired = total.count() > 0 && now >= transfer->startedAt + total;
+        if (nextLimit(*transfer) <= now && !totalExpired && transfer->sink->keepsWaiting())
+            transfer->keepsWaitingUntil = now + keepWaitingInterval;
         if (nextLimit(*transfer) <= now) {
             transfer->timedOut = true;
             finish(transfer->easy, CURLE_OPERATION_TIMEDOUT);
@@ -384,19 +384,19 @@
         armTimer(transfer);
     }
 
-    void resumeIfTaken(Transfer &transfer)
+    void resumeIfSinkReady(Transfer &transfer)
     {
-        if (!transfer.paused || transfer.sink->congested())
+        if (!transfer.paused || transfer.sink->isCongested())
             return;
         transfer.paused = false;
-        transfer.progress = std::chrono::steady_clock::now();
+        transfer.lastProgressAt = std::chrono::steady_clock::now();
         curl_easy_pause(transfer.easy, CURLPAUSE_CONT);
         collectFinished();
     }
 
     CURLM *m_multi = nullptr;
     asio::steady_timer m_timer;
-    std::unordered_map<curl_socket_t, std::shared_ptr<SocketWatch>> m_sockets;
+    std::unordered_map<curl_socket_t, std::shared_ptr<WatchedSocket>> m_sockets;
     std::unordered_map<CURL *, std::shared_ptr<Transfer>> m_transfers;
     std::thread m_thread;
 };
@@ -405,7 +405,7 @@
 
 HttpClient::~HttpClient() = default;
 
-void HttpClient::send(OutgoingRequest request, std::shared_ptr<AnswerSink> sink)
+void HttpClient::send(OutgoingRequest request, std::shared_ptr<ResponseSink> sink)
 {
     asio::post(m_d->m_io,
                [d = m_d.get(), request = std::move(request), sink = std::move(sink)]() mutable {
@@ -413,7 +413,7 @@
                });
 }
 
-void HttpClient::cancel(const AnswerSink *sink)
+void HttpClient::cancel(const ResponseSink *sink)
 {
     m_d->cancel(sink);
 }
@@ -435,10 +435,13 @@
 
 namespace {
 
-class Collector final : public AnswerSink
+class BufferingSink final : public ResponseSink
 {
 public:
-    explicit Collector(std::function<void(const WholeAnswer &)> done) : m_done(std::move(done)) { }
+    explicit BufferingSink(std::function<void(const BufferedResponse &)> done)
+        : m_done(std::move(done))
+    {
+    }
 
     bool onHead(int status, const Headers &headers) override
     {
@@ -450,7 +453,7 @@
     bool onData(std::string_view data) override
     {
         m_answer.response.body += data;
-        return m_answer.response.body.size() <= maxCollectedBytes;
+        return m_answer.response.body.size() <= maxBufferedBytes;
     }
 
     void onEnd(const TransferResult &result) override
@@ -460,24 +463,24 @@
     }
 
 private:
-    std::function<void(const WholeAnswer &)> m_done;
-    WholeAnswer m_answer;
+    std::function<void(const BufferedResponse &)> m_done;
+    BufferedResponse m_answer;
 };
 
 } // namespace
 
-void sendWhole(HttpClient &client, OutgoingRequest request,
-               std::function<void(const WholeAnswer &)> done)
+void sendBuffered(HttpClient &client, OutgoingRequest request,
+                  std::function<void(const BufferedResponse &)> done)
 {
-    client.send(std::move(request), std::make_shared<Collector>(std::move(done)));
+    client.send(std::move(request), std::make_shared<BufferingSink>(std::move(done)));
 }
 
-WholeAnswer sendAndWait(HttpClient &client, OutgoingRequest request)
+BufferedResponse sendAndWait(HttpClient &client, OutgoingRequest request)
 {
-    auto promise = std::make_shared<std::promise<WholeAnswer>>();
+    auto promise = std::make_shared<std::promise<BufferedResponse>>();
     auto answer = promise->get_future();
-    sendWhole(client, std::move(request),
-              [promise](const WholeAnswer &whole) { promise->set_value(whole); });
+    sendBuffered(client, std::move(request),
+                 [promise](const BufferedResponse &whole) { promise->set_value(whole); });
     return answer.get();
 }
 
--- a/test/fleet.cc
+++ b/test/fleet.cc
@@ -299,7 +299,7 @@
 {
     OutgoingRequest request;
     request.url = "http://" + address(engine) + "/standin/runs";
-    const WholeAnswer answer = sendAndWait(m_client, request);
+    const BufferedResponse answer = sendAndWait(m_client, request);
     return nlohmann::json::parse(answer.response.body).get<std::map<std::string, int>>();
 }
 
@@ -317,7 +317,7 @@
 {
     request.limits.firstByte = 60s;
     request.limits.idle = 60s;
-    const WholeAnswer answer = sendAndWait(m_client, std::move(request));
+    const BufferedResponse answer = sendAndWait(m_client, std::move(request));
     const Headers &headers = answer.response.headers;
     Reply reply;
     reply.status = answer.response.status;
@@ -327,7 +327,7 @@
     reply.servedBy = headers.get("X-Served-By").value_or("");
     reply.requestId = headers.get("X-Request-Id").value_or("");
     reply.body = answer.response.body;
-    reply.isComplete = answer.result.end == TransferEnd::complete;
+    reply.isComplete = answer.result.outcome == TransferOutcome::complete;
     return reply;
 }
 
