--- a/include/ibisnotch/http-server.h
+++ b/include/ibisnotch/http-server.h
@@ -30,11 +30,11 @@
     virtual void abort() = 0;
 
     // True once the other end has gone; further writes are lost.
-    virtual bool closed() const = 0;
+    virtual bool isClosed() const = 0;
 
     // Runs the task once when the other end goes before the answer is complete; at once if it has
     // gone already. From any thread. A task set later replaces an earlier one.
-    virtual void onClosed(std::function<void()> task) = 0;
+    virtual void setClosedHandler(std::function<void()> task) = 0;
 
     // Bytes written but not yet taken by the other end.
     virtual std::size_t pendingBytes() const = 0;
@@ -55,7 +55,7 @@
     // limit with a result code.
     std::uint64_t maxBodyBytes = 16U << 20;
     std::chrono::seconds idleTimeout{60};
-    std::chrono::seconds answerTimeout{600};
+    std::chrono::seconds responseTimeout{600};
     std::size_t maxConnections = 20000;
 
     bool operator==(const HttpServerSettings &) const = default;
@@ -94,7 +94,7 @@
     void stopAccepting();
 
     // From now on each connection is told to close after its next answer.
-    void closeAfterAnswers();
+    void closeAfterResponses();
 
 private:
     class Private;
--- a/src/entry/attempt.cc
+++ b/src/entry/attempt.cc
@@ -56,7 +56,7 @@
         m_dispatch->writeToCaller(m_answer, std::move(passed));
     if (end)
         return stopWith(*end);
-    return !m_dispatch->m_exchange->responder->closed();
+    return !m_dispatch->m_exchange->responder->isClosed();
 }
 
 // The first event arrives after the prompt is read and doesn't show the interval between events.
@@ -87,7 +87,8 @@
 {
     if (m_stoppedWith)
         return *m_stoppedWith;
-    if (m_dispatch->m_exchange->responder->closed() && result.outcome != TransferOutcome::complete)
+    if (m_dispatch->m_exchange->responder->isClosed()
+        && result.outcome != TransferOutcome::complete)
         return AttemptOutcome::callerLeft;
     switch (result.outcome) {
     case TransferOutcome::complete:
--- a/src/entry/dispatch.cc
+++ b/src/entry/dispatch.cc
@@ -63,7 +63,7 @@
 void Dispatch::start()
 {
     const Exchange &exchange = *m_exchange;
-    exchange.responder->onClosed([weak = weak_from_this(), &client = m_client] {
+    exchange.responder->setClosedHandler([weak = weak_from_this(), &client = m_client] {
         client.post([weak] {
             if (const auto self = weak.lock())
                 self->onCallerLeft();
@@ -119,7 +119,7 @@
         = m_streamStarted && m_exchange->service->isResumable && !m_exchange->lastEventId.empty();
     return mayContinue
         && remaining() > m_exchange->service->expectedDuration + capacityRetryInterval
-        && !m_exchange->responder->closed();
+        && !m_exchange->responder->isClosed();
 }
 
 void Dispatch::runAfterCapacityPause(std::function<void()> next)
@@ -395,7 +395,7 @@
         const std::lock_guard lock(m_state.quarantineMutex);
         m_state.quarantine.onTrialFinished(m_exchange->fingerprint);
     }
-    if (!target.isPeer && end == AttemptOutcome::connectionLost && !m_exchange->responder->closed())
+    if (!target.isPeer && end == AttemptOutcome::connectionLost && !m_exchange->responder->isClosed())
         onServerLost(target);
     if (end == AttemptOutcome::answered && isRejectedByRemoteRegion(target, attempt)) {
         returnToLocalRegion();
@@ -488,7 +488,7 @@
 bool Dispatch::tryAgain(AttemptOutcome end, bool callerHasSeenBytes)
 {
     const RetryInput input = retryQuestion(end, m_runs, callerHasSeenBytes);
-    if (decideRetry(input) != RetryDecision::retry || m_exchange->responder->closed())
+    if (decideRetry(input) != RetryDecision::retry || m_exchange->responder->isClosed())
         return false;
     // Only the instance that sends to backend servers retries an attempt that may have run. An
     // instance that forwarded the request retries only if it certainly did not run; otherwise the
@@ -528,7 +528,7 @@
     const bool isRemote = target.isPeer && target.region != m_state.settings.region;
     const bool mayRunAgain = m_exchange->service->idempotent || !m_mayHaveRun;
     return isRemote && noCapacity && localAllowed && !m_stayInRegion && mayRunAgain
-        && !m_forwardedToIssuer && !m_exchange->responder->closed();
+        && !m_forwardedToIssuer && !m_exchange->responder->isClosed();
 }
 
 void Dispatch::returnToLocalRegion()
--- a/src/entry/instance.cc
+++ b/src/entry/instance.cc
@@ -112,7 +112,7 @@
     m_state.stopping = true;
     m_control->leave();
     HttpServer &callers = *m_servers.back();
-    callers.closeAfterAnswers();
+    callers.closeAfterResponses();
     // Whoever still comes is told at once to go elsewhere, rather than find nobody.
     const Duration serveOn = m_state.settings.drainAcceptTime;
     std::this_thread::sleep_for(serveOn.count() > 0 ? serveOn + afterServing : goodbyeTime);
--- a/src/net/http-server.cc
+++ b/src/net/http-server.cc
@@ -14,19 +14,19 @@
 namespace {
 
 // What a connection's answers under way share with whoever hears that the connection closed.
-class AnswerState
+class ResponseState
 {
 public:
-    std::atomic<std::size_t> pending = 0;
+    std::atomic<std::size_t> pendingBytes = 0;
 
-    bool closed() const { return m_closed; }
+    bool isClosed() const { return m_closed; }
 
-    void onClosed(std::function<void()> task)
+    void setClosedHandler(std::function<void()> task)
     {
         {
             const std::lock_guard lock(m_mutex);
             if (!m_closed) {
-                m_task = std::move(task);
+                m_closedHandler = std::move(task);
                 return;
             }
         }
@@ -39,7 +39,7 @@
         {
             const std::lock_guard lock(m_mutex);
             m_closed = true;
-            task.swap(m_task);
+            task.swap(m_closedHandler);
         }
         if (task)
             task();
@@ -48,16 +48,16 @@
 private:
     std::mutex m_mutex;
     std::atomic<bool> m_closed = false;
-    std::function<void()> m_task;
+    std::function<void()> m_closedHandler;
 };
 
 // Tells answers under way that their connection has closed. RESTinio reports a close at once only
 // while it reads ahead, which the server below lets it do; without that, work for a caller that has
 // left goes on until its answer is written.
-class ConnectionBook
+class ConnectionRegistry
 {
 public:
-    void add(restinio::connection_id_t id, const std::shared_ptr<AnswerState> &state)
+    void add(restinio::connection_id_t id, const std::shared_ptr<ResponseState> &state)
     {
         const std::lock_guard lock(m_mutex);
         auto &states = m_states[id];
@@ -70,7 +70,7 @@
     {
         if (!std::holds_alternative<restinio::connection_state::closed_t>(notice.cause()))
             return;
-        std::vector<std::weak_ptr<AnswerState>> states;
+        std::vector<std::weak_ptr<ResponseState>> states;
         {
             const std::lock_guard lock(m_mutex);
             const auto found = m_states.find(notice.connection_id());
@@ -87,12 +87,13 @@
 
 private:
     std::mutex m_mutex;
-    std::unordered_map<restinio::connection_id_t, std::vector<std::weak_ptr<AnswerState>>> m_states;
+    std::unordered_map<restinio::connection_id_t, std::vector<std::weak_ptr<ResponseState>>>
+        m_states;
 };
 
 struct ServerTraits : public restinio::default_traits_t
 {
-    using connection_state_listener_t = ConnectionBook;
+    using connection_state_listener_t = ConnectionRegistry;
     using logger_t = restinio::null_logger_t;
     using request_handler_t
         = std::function<restinio::request_handling_status_t(restinio::request_handle_t)>;
@@ -111,7 +112,7 @@
             status < 400 ? "OK" : "Refused"};
 }
 
-template <typename Builder> void addFields(Builder &builder, const Headers &headers)
+template <typename Builder> void addHeaders(Builder &builder, const Headers &headers)
 {
     for (const auto &[name, value] : headers.fields())
         builder.append_header(name, value);
@@ -120,20 +121,21 @@
 class RestinioResponder final : public Responder
 {
 public:
-    RestinioResponder(restinio::request_handle_t request, const std::atomic<bool> &closing)
+    RestinioResponder(restinio::request_handle_t request,
+                      const std::atomic<bool> &closeAfterResponse)
         : m_connection(restinio::impl::access_req_connection(*request)),
-          m_request(std::move(request)), m_closing(closing),
-          m_state(std::make_shared<AnswerState>())
+          m_request(std::move(request)), m_closeAfterResponse(closeAfterResponse),
+          m_state(std::make_shared<ResponseState>())
     {
     }
 
-    const std::shared_ptr<AnswerState> &state() const { return m_state; }
+    const std::shared_ptr<ResponseState> &state() const { return m_state; }
 
     void reply(HttpResponse response) override
     {
         PlainResponse builder = m_request->create_response(statusLine(response.status));
-        addFields(builder, response.headers);
-        if (m_closing)
+        addHeaders(builder, response.headers);
+        if (m_closeAfterResponse)
             builder.connection_close();
         builder.set_body(std::move(response.body));
         builder.done();
@@ -143,21 +145,21 @@
     {
         m_chunked = std::make_unique<ChunkedResponse>(
             m_request->create_response<restinio::chunked_output_t>(statusLine(status)));
-        addFields(*m_chunked, headers);
-        if (m_closing)
+        addHeaders(*m_chunked, headers);
+        if (m_closeAfterResponse)
             m_chunked->connection_close();
         m_chunked->flush();
     }
 
     void write(std::string data) override
     {
-        if (data.empty() || closed())
+        if (data.empty() || isClosed())
             return;
         const std::size_t size = data.size();
-        m_state->pending += size;
+        m_state->pendingBytes += size;
         m_chunked->append_chunk(std::move(data));
         m_chunked->flush([state = m_state, size](const asio::error_code &error) {
-            state->pending -= size;
+            state->pendingBytes -= size;
             if (error)
                 state->close();
         });
@@ -173,8 +175,9 @@
     void abort() override
     {
         // RESTinio's builders can only end a stream with its last chunk, which would let a cut
-        // stream pass for a short answer. Ending the response with no parts and a closing flag
-        // leaves that chunk out, so an HTTP/1.1 client reports the message as incomplete.
+        // stream pass for a short answer. Ending the response with no parts and a
+        // closeAfterResponse flag leaves that chunk out, so an HTTP/1.1 client reports the message
+        // as incomplete.
         m_chunked.reset();
         m_connection->write_response_parts(
             m_request->request_id(),
@@ -184,19 +187,22 @@
             restinio::write_group_t{restinio::writable_items_container_t{}});
     }
 
-    bool closed() const override { return m_state->closed(); }
-    void onClosed(std::function<void()> task) override { m_state->onClosed(std::move(task)); }
-    std::size_t pendingBytes() const override { return m_state->pending; }
+    bool isClosed() const override { return m_state->isClosed(); }
+    void setClosedHandler(std::function<void()> task) override
+    {
+        m_state->setClosedHandler(std::move(task));
+    }
+    std::size_t pendingBytes() const override { return m_state->pendingBytes; }
 
 private:
     restinio::impl::connection_handle_t m_connection;
     restinio::request_handle_t m_request;
     std::unique_ptr<ChunkedResponse> m_chunked;
-    const std::atomic<bool> &m_closing;
-    std::shared_ptr<AnswerState> m_state;
+    const std::atomic<bool> &m_closeAfterResponse;
+    std::shared_ptr<ResponseState> m_state;
 };
 
-HttpRequest toRequest(const restinio::request_handle_t &from)
+HttpRequest toHttpRequest(const restinio::request_handle_t &from)
 {
     const auto &header = from->header();
     HttpRequest request;
@@ -273,7 +279,7 @@
         to.port(settings.port);
         to.read_next_http_message_timelimit(settings.idleTimeout);
         to.write_http_response_timelimit(settings.idleTimeout);
-        to.handle_request_timeout(settings.answerTimeout);
+        to.handle_request_timeout(settings.responseTimeout);
         to.max_parallel_connections(settings.maxConnections);
         to.incoming_http_msg_limits(
             restinio::incoming_http_msg_limits_t{}.max_body_size(settings.maxBodyBytes));
@@ -288,9 +294,10 @@
             options.set_option(asio::ip::tcp::acceptor::reuse_address(true));
         });
         to.request_handler([this, &handler](restinio::request_handle_t request) {
-            HttpRequest plain = toRequest(request);
+            HttpRequest plain = toHttpRequest(request);
             const auto connection = request->connection_id();
-            auto responder = std::make_shared<RestinioResponder>(std::move(request), closing);
+            auto responder
+                = std::make_shared<RestinioResponder>(std::move(request), closeAfterResponse);
             m_connections->add(connection, responder->state());
             handler.handle(std::move(plain), std::move(responder));
             return restinio::request_accepted();
@@ -298,8 +305,8 @@
     }
 
     asio::io_context &io;
-    std::atomic<bool> closing = false;
-    std::shared_ptr<ConnectionBook> m_connections = std::make_shared<ConnectionBook>();
+    std::atomic<bool> closeAfterResponse = false;
+    std::shared_ptr<ConnectionRegistry> m_connections = std::make_shared<ConnectionRegistry>();
     // Never destroyed. Connections that are still open are freed with the loop and count themselves
     // out of the server's limiter then; a server that went first left them a freed limiter. The
     // other order would leave the server's acceptor a freed loop. Few servers live in a process,
@@ -314,9 +321,9 @@
 
 HttpServer::~HttpServer() = default;
 
-void HttpServer::closeAfterAnswers()
+void HttpServer::closeAfterResponses()
 {
-    m_d->closing = true;
+    m_d->closeAfterResponse = true;
 }
 
 void HttpServer::stopAccepting()
--- a/src/standin-engine.cc
+++ b/src/standin-engine.cc
@@ -247,7 +247,7 @@
     {
         const std::string id = "chatcmpl-" + job->requestId;
         const bool half = job->sent * 2 >= job->tokens;
-        if (job->responder->closed())
+        if (job->responder->isClosed())
             return over();
         if (half && job->fault == Fault::drop) {
             job->responder->abort();
--- a/src/standin-store.cc
+++ b/src/standin-store.cc
@@ -102,8 +102,8 @@
         void write(std::string) override { }
         void finish() override { }
         void abort() override { }
-        bool closed() const override { return true; }
-        void onClosed(std::function<void()>) override { }
+        bool isClosed() const override { return true; }
+        void setClosedHandler(std::function<void()>) override { }
         std::size_t pendingBytes() const override { return 0; }
     };
 
