--- a/include/ibisnotch/config-admin.h
+++ b/include/ibisnotch/config-admin.h
@@ -42,8 +42,8 @@
 private:
     StoreRead read(const std::string &key);
     StoreWrite write(const std::string &key, std::uint64_t index, const std::string &value);
-    absl::Status keepHistory(const ConfigDocument &document);
-    absl::StatusOr<ConfigDocument> settleUnknown(const ConfigDocument &draft);
+    absl::Status saveToHistory(const ConfigDocument &document);
+    absl::StatusOr<ConfigDocument> resolveUnknownWrite(const ConfigDocument &draft);
 
     Store &m_store;
 };
--- a/include/ibisnotch/store.h
+++ b/include/ibisnotch/store.h
@@ -13,7 +13,7 @@
 
 class HttpClient;
 
-enum class StoreEnd {
+enum class StoreStatus {
     ok,
     notFound,
     conflict, // certain: the value was not written
@@ -24,7 +24,7 @@
 
 struct StoreRead
 {
-    StoreEnd end = StoreEnd::unknown;
+    StoreStatus status = StoreStatus::unknown;
     std::string value;
     std::uint64_t index = 0; // of the value; 0 if it does not exist
     bool operator==(const StoreRead &) const = default;
@@ -32,14 +32,14 @@
 
 struct StoreWrite
 {
-    StoreEnd end = StoreEnd::unknown;
+    StoreStatus status = StoreStatus::unknown;
     std::uint64_t index = 0; // after the write
     bool operator==(const StoreWrite &) const = default;
 };
 
 struct StoreLease
 {
-    StoreEnd end = StoreEnd::unknown;
+    StoreStatus status = StoreStatus::unknown;
     std::string id;
     bool operator==(const StoreLease &) const = default;
 };
@@ -60,9 +60,9 @@
 
 struct StorePage
 {
-    StoreEnd end = StoreEnd::unknown;
+    StoreStatus status = StoreStatus::unknown;
     std::vector<StoreItem> items; // of a watch: what changed, in the order of the changes
-    bool more = false; // of a list: another page follows
+    bool hasMore = false; // of a list: another page follows
     std::uint64_t asOf = 0; // the store's revision
     bool operator==(const StorePage &) const = default;
 };
@@ -80,7 +80,7 @@
 
     // Returns once a key of the prefix has changed since the revision, or the time is over.
     virtual void watchRange(const std::string &prefix, std::uint64_t afterRevision,
-                            Duration longest, std::function<void(const StorePage &)> done)
+                            Duration maxWait, std::function<void(const StorePage &)> done)
         = 0;
 };
 
@@ -93,7 +93,7 @@
     virtual void read(const std::string &key, std::function<void(const StoreRead &)> done) = 0;
 
     // Returns once the value's index is above the given one, or the time is over.
-    virtual void watch(const std::string &key, std::uint64_t afterIndex, Duration longest,
+    virtual void watch(const std::string &key, std::uint64_t afterIndex, Duration maxWait,
                        std::function<void(const StoreRead &)> done)
         = 0;
 
@@ -105,7 +105,7 @@
 
     virtual void remove(const std::string &key, std::function<void(const StoreWrite &)> done) = 0;
 
-    virtual void grantLease(Duration life, std::function<void(const StoreLease &)> done) = 0;
+    virtual void grantLease(Duration ttl, std::function<void(const StoreLease &)> done) = 0;
     virtual void renewLease(const std::string &id, std::function<void(const StoreLease &)> done)
         = 0;
     // Sets the value if no other lease holds the key; the key vanishes with the lease.
--- a/src/decide/prefix-follower.cc
+++ b/src/decide/prefix-follower.cc
@@ -43,11 +43,11 @@
 std::vector<StoreItem> PrefixFollower::onResponse(const StorePage &page, TimePoint now)
 {
     m_callPending = false;
-    if (page.end == StoreEnd::historyLost) {
+    if (page.status == StoreStatus::historyLost) {
         restartListing();
         return {};
     }
-    if (page.end != StoreEnd::ok) {
+    if (page.status != StoreStatus::ok) {
         const Duration pause = m_limits.initialRetryDelay * (1 << std::min(m_failures, 4));
         m_nextCallAt = now + std::min(pause, m_limits.maxRetryDelay);
         ++m_failures;
@@ -175,7 +175,7 @@
     for (const StoreItem &item : page.items)
         m_listed.insert(item.key);
     std::vector<StoreItem> changes = apply(page.items);
-    if (page.more && !page.items.empty()) {
+    if (page.hasMore && !page.items.empty()) {
         m_after = page.items.back().key;
         return changes;
     }
@@ -264,7 +264,7 @@
                                              bool watched, const PrefixFollower &follower,
                                              const StorePage &page)
 {
-    if (page.end != StoreEnd::ok || !follower.isWatching() || base == 0)
+    if (page.status != StoreStatus::ok || !follower.isWatching() || base == 0)
         return {};
     if (watched)
         return updatesFromWatch(prefix, base, follower.asOf(), page.items);
--- a/src/entry/claim-service.cc
+++ b/src/entry/claim-service.cc
@@ -10,14 +10,14 @@
 
 constexpr Duration tickPeriod = std::chrono::milliseconds(100);
 
-PageWriteResult pageWriteEnd(StoreEnd end)
+PageWriteResult pageWriteEnd(StoreStatus status)
 {
     switch (end) {
-    case StoreEnd::ok:
+    case StoreStatus::ok:
         return PageWriteResult::applied;
-    case StoreEnd::conflict:
+    case StoreStatus::conflict:
         return PageWriteResult::conflict;
-    case StoreEnd::notApplied:
+    case StoreStatus::notApplied:
         return PageWriteResult::notApplied;
     default:
         return PageWriteResult::unknown;
@@ -107,8 +107,9 @@
     m_store.read(name, [this, name, call](const StoreRead &read) {
         ClaimPageWriter &writer = m_pages[name].writer;
         const auto page
-            = parseClaimPage(read.end == StoreEnd::notFound ? "{\"claims\":{}}" : read.value);
-        const bool good = (read.end == StoreEnd::ok || read.end == StoreEnd::notFound) && page.ok();
+            = parseClaimPage(read.status == StoreStatus::notFound ? "{\"claims\":{}}" : read.value);
+        const bool good
+            = (read.status == StoreStatus::ok || read.status == StoreStatus::notFound) && page.ok();
         if (good)
             writer.onRead(call, read.index, *page);
         else
@@ -124,9 +125,9 @@
 {
     m_store.compareAndSet(name, action.expectedIndex, action.value,
                           [this, name, call = action.call](const StoreWrite &write) {
-                              m_pages[name].writer.onWritten(call, pageWriteEnd(write.end),
+                              m_pages[name].writer.onWritten(call, pageWriteEnd(write.status),
                                                              write.index, m_clock.now());
-                              if (write.end == StoreEnd::unknown)
+                              if (write.status == StoreStatus::unknown)
                                   logLine(LogPart::claims, LogLevel::warn,
                                           "No response to a claim page write.", {{"page", name}});
                               advance(name);
--- a/src/entry/document-source.cc
+++ b/src/entry/document-source.cc
@@ -67,7 +67,7 @@
 
 void DocumentSource::onStoreConfig(const StoreRead &read)
 {
-    const bool good = read.end == StoreEnd::ok;
+    const bool good = read.status == StoreStatus::ok;
     if (good) {
         m_configIndex = read.index;
         const auto document = parseDocument(read.value);
@@ -111,7 +111,7 @@
 
 void DocumentSource::onList(const StoreRead &read)
 {
-    const bool good = read.end == StoreEnd::ok;
+    const bool good = read.status == StoreStatus::ok;
     const auto list = nlohmann::json::parse(good ? read.value : "", nullptr, false);
     if (good)
         m_listIndex = read.index;
--- a/src/entry/placement-controller.cc
+++ b/src/entry/placement-controller.cc
@@ -93,7 +93,7 @@
     // ends here before it ends in the store.
     const TimePoint requestedAt = m_state.clock.now();
     m_store.grantLease(leaseDuration, [this, requestedAt](const StoreLease &lease) {
-        if (lease.end != StoreEnd::ok)
+        if (lease.status != StoreStatus::ok)
             return abandonLease();
         onLease(lease.id, requestedAt);
     });
@@ -104,7 +104,7 @@
     m_session = id;
     m_store.acquire(holderKey(), id, m_state.settings.name,
                     [this, requestedAt](const StoreWrite &write) {
-                        if (write.end != StoreEnd::ok)
+                        if (write.status != StoreStatus::ok)
                             return abandonLease();
                         readFence(requestedAt);
                     });
@@ -113,7 +113,7 @@
 void PlacementController::readFence(TimePoint requestedAt)
 {
     m_store.read(fenceKey(), [this, requestedAt](const StoreRead &read) {
-        if (read.end != StoreEnd::ok && read.end != StoreEnd::notFound)
+        if (read.status != StoreStatus::ok && read.status != StoreStatus::notFound)
             return abandonLease();
         incrementFence(read, requestedAt);
     });
@@ -127,7 +127,7 @@
                           [this, last, requestedAt](const StoreWrite &write) {
                               // If the response was lost, the number may be in use already; the
                               // next attempt uses the following one.
-                              if (write.end != StoreEnd::ok)
+                              if (write.status != StoreStatus::ok)
                                   return abandonLease();
                               m_acquiring = false;
                               m_lease = {last + 1, requestedAt + leaseDuration};
@@ -140,9 +140,9 @@
 {
     const TimePoint requestedAt = m_state.clock.now();
     m_store.renewLease(m_session, [this, requestedAt](const StoreLease &lease) {
-        if (lease.end == StoreEnd::ok && m_lease.fence != 0)
+        if (lease.status == StoreStatus::ok && m_lease.fence != 0)
             m_lease.until = requestedAt + leaseDuration;
-        if (lease.end == StoreEnd::notFound)
+        if (lease.status == StoreStatus::notFound)
             m_lease = {};
     });
 }
--- a/src/net/config-admin.cc
+++ b/src/net/config-admin.cc
@@ -21,7 +21,7 @@
     return fmt::format("ibisnotch/config/history/{}", version);
 }
 
-absl::Status unavailable()
+absl::Status storeUnavailable()
 {
     return absl::UnavailableError("the store does not answer; nothing was changed, try again");
 }
@@ -80,10 +80,10 @@
 absl::StatusOr<StoredConfig> ConfigAdmin::current()
 {
     const StoreRead found = read(std::string(currentKey));
-    if (found.end == StoreEnd::notFound)
+    if (found.status == StoreStatus::notFound)
         return StoredConfig{};
-    if (found.end != StoreEnd::ok)
-        return unavailable();
+    if (found.status != StoreStatus::ok)
+        return storeUnavailable();
     auto document = parseDocument(found.value);
     if (!document.ok())
         return document.status();
@@ -98,21 +98,21 @@
     if (now->document && now->document->version == number)
         return *now->document;
     const StoreRead found = read(historyKey(number));
-    if (found.end == StoreEnd::notFound)
+    if (found.status == StoreStatus::notFound)
         return absl::NotFoundError(fmt::format("no version {}", number));
-    if (found.end != StoreEnd::ok)
-        return unavailable();
+    if (found.status != StoreStatus::ok)
+        return storeUnavailable();
     return parseDocument(found.value);
 }
 
-absl::Status ConfigAdmin::keepHistory(const ConfigDocument &document)
+absl::Status ConfigAdmin::saveToHistory(const ConfigDocument &document)
 {
     // Written before the version is replaced. Its content is fixed, so it does not matter how many
     // operators write it, nor whether an answer is lost.
     const StoreWrite written = write(historyKey(document.version), 0, serializeDocument(document));
-    if (written.end == StoreEnd::ok || written.end == StoreEnd::conflict)
+    if (written.status == StoreStatus::ok || written.status == StoreStatus::conflict)
         return absl::OkStatus();
-    return unavailable();
+    return storeUnavailable();
 }
 
 absl::StatusOr<ConfigDocument> ConfigAdmin::apply(ConfigDocument draft,
@@ -130,28 +130,28 @@
     if (!checked.ok())
         return checked.status();
     if (now->document) {
-        const absl::Status kept = keepHistory(*now->document);
+        const absl::Status kept = saveToHistory(*now->document);
         if (!kept.ok())
             return kept;
     }
     draft.version = version + 1;
     const StoreWrite written = write(std::string(currentKey), now->index, serializeDocument(draft));
-    switch (written.end) {
-    case StoreEnd::ok:
+    switch (written.status) {
+    case StoreStatus::ok:
         return draft;
-    case StoreEnd::notFound:
-    case StoreEnd::conflict:
+    case StoreStatus::notFound:
+    case StoreStatus::conflict:
         return absl::AbortedError("another operator was first; nothing was changed, see diff");
-    case StoreEnd::notApplied:
-    case StoreEnd::historyLost:
-        return unavailable();
-    case StoreEnd::unknown:
-        return settleUnknown(draft);
+    case StoreStatus::notApplied:
+    case StoreStatus::historyLost:
+        return storeUnavailable();
+    case StoreStatus::unknown:
+        return resolveUnknownWrite(draft);
     }
-    return unavailable();
+    return storeUnavailable();
 }
 
-absl::StatusOr<ConfigDocument> ConfigAdmin::settleUnknown(const ConfigDocument &draft)
+absl::StatusOr<ConfigDocument> ConfigAdmin::resolveUnknownWrite(const ConfigDocument &draft)
 {
     // The answer was lost. Reading back tells whether the change took effect, and a plain repeat
     // would not: it could meet its own first write and report a conflict.
--- a/src/net/consul-store.cc
+++ b/src/net/consul-store.cc
@@ -14,9 +14,9 @@
 constexpr int statusOk = 200;
 constexpr int statusNotFound = 404;
 constexpr int statusConflict = 409;
-constexpr int statusTooMany = 429;
+constexpr int statusTooManyRequests = 429;
 
-TransferLimits shortLimits()
+TransferLimits callLimits()
 {
     TransferLimits limits;
     limits.connect = std::chrono::milliseconds(500);
@@ -26,31 +26,31 @@
     return limits;
 }
 
-std::string encode(const std::string &value)
+std::string base64Encode(const std::string &value)
 {
     return absl::Base64Escape(value);
 }
 
 // What is certain of a call that brought no usable answer.
-StoreEnd endOfFailure(const BufferedResponse &answer)
+StoreStatus failureStatus(const BufferedResponse &answer)
 {
     const bool refused = answer.result.outcome == TransferOutcome::complete
-        && answer.response.status == statusTooMany;
-    return refused || !answer.result.sent ? StoreEnd::notApplied : StoreEnd::unknown;
+        && answer.response.status == statusTooManyRequests;
+    return refused || !answer.result.sent ? StoreStatus::notApplied : StoreStatus::unknown;
 }
 
 StoreRead parseRead(const BufferedResponse &answer)
 {
     const bool complete = answer.result.outcome == TransferOutcome::complete;
     if (complete && answer.response.status == statusNotFound)
-        return {StoreEnd::notFound, "", 0};
+        return {StoreStatus::notFound, "", 0};
     if (!complete || answer.response.status != statusOk)
-        return {endOfFailure(answer), "", 0};
+        return {failureStatus(answer), "", 0};
     const auto body = json::parse(answer.response.body, nullptr, false);
     if (!body.is_array() || body.empty())
-        return {StoreEnd::unknown, "", 0};
+        return {StoreStatus::unknown, "", 0};
     StoreRead read;
-    read.end = StoreEnd::ok;
+    read.status = StoreStatus::ok;
     read.index = body[0].value("ModifyIndex", std::uint64_t(0));
     if (body[0].contains("Value") && body[0]["Value"].is_string())
         absl::Base64Unescape(body[0]["Value"].get<std::string>(), &read.value);
@@ -61,35 +61,36 @@
 {
     const bool complete = answer.result.outcome == TransferOutcome::complete;
     if (complete && answer.response.status == statusConflict)
-        return {StoreEnd::conflict, 0};
+        return {StoreStatus::conflict, 0};
     if (!complete || answer.response.status != statusOk)
-        return {endOfFailure(answer), 0};
+        return {failureStatus(answer), 0};
     const auto body = json::parse(answer.response.body, nullptr, false);
     const json::json_pointer index("/Results/0/KV/ModifyIndex");
     if (!body.is_object() || !body.contains(index))
-        return {StoreEnd::unknown, 0};
-    return {StoreEnd::ok, body[index].get<std::uint64_t>()};
+        return {StoreStatus::unknown, 0};
+    return {StoreStatus::ok, body[index].get<std::uint64_t>()};
 }
 
 StoreWrite parseBoolean(const BufferedResponse &answer)
 {
     const bool complete = answer.result.outcome == TransferOutcome::complete;
     if (!complete || answer.response.status != statusOk)
-        return {endOfFailure(answer), 0};
-    return {answer.response.body.rfind("true", 0) == 0 ? StoreEnd::ok : StoreEnd::conflict, 0};
+        return {failureStatus(answer), 0};
+    return {answer.response.body.rfind("true", 0) == 0 ? StoreStatus::ok : StoreStatus::conflict,
+            0};
 }
 
 StoreLease parseLease(const BufferedResponse &answer, const std::string &id)
 {
     const bool complete = answer.result.outcome == TransferOutcome::complete;
     if (complete && answer.response.status == statusNotFound)
-        return {StoreEnd::notFound, ""};
+        return {StoreStatus::notFound, ""};
     if (!complete || answer.response.status != statusOk)
-        return {endOfFailure(answer), ""};
+        return {failureStatus(answer), ""};
     const auto body = json::parse(answer.response.body, nullptr, false);
     if (body.is_object() && body.contains("ID"))
-        return {StoreEnd::ok, body["ID"].get<std::string>()};
-    return {StoreEnd::ok, id};
+        return {StoreStatus::ok, body["ID"].get<std::string>()};
+    return {StoreStatus::ok, id};
 }
 
 class ConsulStore final : public Store
@@ -102,17 +103,17 @@
 
     void read(const std::string &key, std::function<void(const StoreRead &)> done) override
     {
-        call("GET", "kv/" + key, "", shortLimits(),
+        call("GET", "kv/" + key, "", callLimits(),
              [done](const BufferedResponse &answer) { done(parseRead(answer)); });
     }
 
-    void watch(const std::string &key, std::uint64_t afterIndex, Duration longest,
+    void watch(const std::string &key, std::uint64_t afterIndex, Duration maxWait,
                std::function<void(const StoreRead &)> done) override
     {
-        const auto seconds = std::chrono::duration_cast<std::chrono::seconds>(longest);
-        TransferLimits limits = shortLimits();
-        limits.firstByte += longest;
-        limits.total += longest;
+        const auto seconds = std::chrono::duration_cast<std::chrono::seconds>(maxWait);
+        TransferLimits limits = callLimits();
+        limits.firstByte += maxWait;
+        limits.total += maxWait;
         call("GET", fmt::format("kv/{}?index={}&wait={}s", key, afterIndex, seconds.count()), "",
              limits, [done](const BufferedResponse &answer) { done(parseRead(answer)); });
     }
@@ -124,38 +125,38 @@
         const json body = json::array({{{"KV",
                                          {{"Verb", "cas"},
                                           {"Key", key},
-                                          {"Value", encode(value)},
+                                          {"Value", base64Encode(value)},
                                           {"Index", expectedIndex}}}}});
-        call("PUT", "txn", body.dump(), shortLimits(),
+        call("PUT", "txn", body.dump(), callLimits(),
              [done](const BufferedResponse &answer) { done(parseTransaction(answer)); });
     }
 
     void remove(const std::string &key, std::function<void(const StoreWrite &)> done) override
     {
-        call("DELETE", "kv/" + key, "", shortLimits(),
+        call("DELETE", "kv/" + key, "", callLimits(),
              [done](const BufferedResponse &answer) { done(parseBoolean(answer)); });
     }
 
-    void grantLease(Duration life, std::function<void(const StoreLease &)> done) override
+    void grantLease(Duration ttl, std::function<void(const StoreLease &)> done) override
     {
-        const auto seconds = std::chrono::duration_cast<std::chrono::seconds>(life);
+        const auto seconds = std::chrono::duration_cast<std::chrono::seconds>(ttl);
         const json body{{"TTL", fmt::format("{}s", seconds.count())},
                         {"Behavior", "delete"},
                         {"LockDelay", "0s"}};
-        call("PUT", "session/create", body.dump(), shortLimits(),
+        call("PUT", "session/create", body.dump(), callLimits(),
              [done](const BufferedResponse &answer) { done(parseLease(answer, "")); });
     }
 
     void renewLease(const std::string &id, std::function<void(const StoreLease &)> done) override
     {
-        call("PUT", "session/renew/" + id, "", shortLimits(),
+        call("PUT", "session/renew/" + id, "", callLimits(),
              [done, id](const BufferedResponse &answer) { done(parseLease(answer, id)); });
     }
 
     void acquire(const std::string &key, const std::string &leaseId, const std::string &value,
                  std::function<void(const StoreWrite &)> done) override
     {
-        call("PUT", fmt::format("kv/{}?acquire={}", key, leaseId), value, shortLimits(),
+        call("PUT", fmt::format("kv/{}?acquire={}", key, leaseId), value, callLimits(),
              [done](const BufferedResponse &answer) { done(parseBoolean(answer)); });
     }
 
--- a/test/answers-fleet-test.cc
+++ b/test/answers-fleet-test.cc
@@ -369,7 +369,7 @@
     fleet.store().compareAndSet("platform/instances", 0,
                                 "{\"leaving\":[{\"name\":\"a-m2\",\"sinceMs\":9999999999999}]}",
                                 [&](const StoreWrite &write) { written.set_value(write); });
-    CHECK(written.get_future().get().end == StoreEnd::ok);
+    CHECK(written.get_future().get().status == StoreStatus::ok);
     for (const char *entry : {"a1", "a2"})
         eventually("it is known",
                    [&] { return fleet.adminStatus(entry).find("leaving") != std::string::npos; });
--- a/test/config-admin-test.cc
+++ b/test/config-admin-test.cc
@@ -46,13 +46,13 @@
 
 TEST_CASE_METHOD(AdminFixture, "apply_answerLostAfterTheWrite_isAcceptedByReadingBack")
 {
-    StoreRead inStore{StoreEnd::ok, serializeDocument(document), 5};
+    StoreRead inStore{StoreStatus::ok, serializeDocument(document), 5};
     REQUIRE_CALL(store, read(currentKey, _)).TIMES(2).LR_SIDE_EFFECT(_2(inStore));
-    REQUIRE_CALL(store, compareAndSet(historyKey, 0, _, _)).SIDE_EFFECT(_4({StoreEnd::ok, 6}));
+    REQUIRE_CALL(store, compareAndSet(historyKey, 0, _, _)).SIDE_EFFECT(_4({StoreStatus::ok, 6}));
     REQUIRE_CALL(store, compareAndSet(currentKey, 5, _, _))
         .LR_SIDE_EFFECT(inStore.value = _3)
         .LR_SIDE_EFFECT(inStore.index = 7)
-        .SIDE_EFFECT(_4({StoreEnd::unknown, 0}));
+        .SIDE_EFFECT(_4({StoreStatus::unknown, 0}));
     const auto result = admin.apply(document, 1);
     REQUIRE(result.ok());
     CHECK(result->version == 2);
@@ -60,27 +60,28 @@
 
 TEST_CASE_METHOD(AdminFixture, "apply_answerLostBeforeTheWrite_saysThatItIsUnknown")
 {
-    const StoreRead inStore{StoreEnd::ok, serializeDocument(document), 5};
+    const StoreRead inStore{StoreStatus::ok, serializeDocument(document), 5};
     REQUIRE_CALL(store, read(currentKey, _)).TIMES(2).LR_SIDE_EFFECT(_2(inStore));
     REQUIRE_CALL(store, compareAndSet(historyKey, 0, _, _))
-        .SIDE_EFFECT(_4({StoreEnd::conflict, 0}));
-    REQUIRE_CALL(store, compareAndSet(currentKey, 5, _, _)).SIDE_EFFECT(_4({StoreEnd::unknown, 0}));
+        .SIDE_EFFECT(_4({StoreStatus::conflict, 0}));
+    REQUIRE_CALL(store, compareAndSet(currentKey, 5, _, _))
+        .SIDE_EFFECT(_4({StoreStatus::unknown, 0}));
     CHECK(admin.apply(document, 1).status().code() == absl::StatusCode::kUnknown);
 }
 
 TEST_CASE_METHOD(AdminFixture, "apply_anotherOperatorFirst_isTurnedDown")
 {
-    const StoreRead inStore{StoreEnd::ok, serializeDocument(document), 5};
+    const StoreRead inStore{StoreStatus::ok, serializeDocument(document), 5};
     REQUIRE_CALL(store, read(currentKey, _)).LR_SIDE_EFFECT(_2(inStore));
-    REQUIRE_CALL(store, compareAndSet(historyKey, 0, _, _)).SIDE_EFFECT(_4({StoreEnd::ok, 6}));
+    REQUIRE_CALL(store, compareAndSet(historyKey, 0, _, _)).SIDE_EFFECT(_4({StoreStatus::ok, 6}));
     REQUIRE_CALL(store, compareAndSet(currentKey, 5, _, _))
-        .SIDE_EFFECT(_4({StoreEnd::conflict, 0}));
+        .SIDE_EFFECT(_4({StoreStatus::conflict, 0}));
     CHECK(admin.apply(document, 1).status().code() == absl::StatusCode::kAborted);
 }
 
 TEST_CASE_METHOD(AdminFixture, "apply_brokenDraft_writesNothing")
 {
-    const StoreRead inStore{StoreEnd::ok, serializeDocument(document), 5};
+    const StoreRead inStore{StoreStatus::ok, serializeDocument(document), 5};
     REQUIRE_CALL(store, read(currentKey, _)).LR_SIDE_EFFECT(_2(inStore));
     FORBID_CALL(store, compareAndSet(_, _, _, _));
     ConfigDocument broken = document;
@@ -90,7 +91,7 @@
 
 TEST_CASE_METHOD(AdminFixture, "apply_storeDown_changesNothing")
 {
-    REQUIRE_CALL(store, read(currentKey, _)).SIDE_EFFECT(_2({StoreEnd::unknown, "", 0}));
+    REQUIRE_CALL(store, read(currentKey, _)).SIDE_EFFECT(_2({StoreStatus::unknown, "", 0}));
     CHECK(admin.apply(document, 1).status().code() == absl::StatusCode::kUnavailable);
 }
 
--- a/test/config-fleet-test.cc
+++ b/test/config-fleet-test.cc
@@ -264,7 +264,7 @@
     std::promise<StoreWrite> written;
     fleet.store().compareAndSet("ibisnotch/config/current", inForce.index, serializeDocument(newer),
                                 [&](const StoreWrite &write) { written.set_value(write); });
-    REQUIRE(written.get_future().get().end == StoreEnd::ok);
+    REQUIRE(written.get_future().get().status == StoreStatus::ok);
     eventually("a watcher has seen it", [&] {
         return fleet.adminStatus("a1").find("keyOfALaterRelease") != std::string::npos
             || fleet.adminStatus("a2").find("keyOfALaterRelease") != std::string::npos;
--- a/test/prefix-follower-test.cc
+++ b/test/prefix-follower-test.cc
@@ -25,10 +25,10 @@
 
     static StorePage page(std::vector<StoreItem> items, std::uint64_t asOf, bool more = false)
     {
-        return {StoreEnd::ok, std::move(items), more, asOf};
+        return {StoreStatus::ok, std::move(items), more, asOf};
     }
 
-    static StorePage failed(StoreEnd end) { return {end, {}, false, 0}; }
+    static StorePage failed(StoreStatus status) { return {status, {}, false, 0}; }
 };
 
 // A store with random writes and removals, listed in pages of two keys.
@@ -58,7 +58,7 @@
 
     StorePage answer(const FollowCall &call) const
     {
-        StorePage page{StoreEnd::ok, {}, false, revision};
+        StorePage page{StoreStatus::ok, {}, false, revision};
         if (const auto *watch = std::get_if<WatchCall>(&call)) {
             for (const StoreItem &item : log) {
                 if (item.revision > watch->afterRevision)
@@ -69,8 +69,8 @@
         const auto &after = std::get<ListCall>(call).after;
         for (auto it = after.empty() ? items.begin() : items.upper_bound(after); it != items.end();
              ++it) {
-            page.more = page.items.size() == 2;
-            if (page.more)
+            page.hasMore = page.items.size() == 2;
+            if (page.hasMore)
                 break;
             page.items.push_back(it->second);
         }
@@ -107,9 +107,9 @@
 {
     const int choice = *rc::gen::inRange(0, 10);
     if (choice == 0)
-        return {StoreEnd::unknown, {}, false, 0};
+        return {StoreStatus::unknown, {}, false, 0};
     if (choice == 1)
-        return {StoreEnd::historyLost, {}, false, 0};
+        return {StoreStatus::historyLost, {}, false, 0};
     return page;
 }
 
@@ -136,7 +136,7 @@
 TEST_CASE_METHOD(FollowerFixture, "prefixFollower_historyLost_reportsKeysRemovedMeanwhile")
 {
     answer(page({{"a", "1", 3, false}, {"b", "1", 4, false}}, 5));
-    CHECK(answer(failed(StoreEnd::historyLost)).empty());
+    CHECK(answer(failed(StoreStatus::historyLost)).empty());
     const auto changes = answer(page({{"b", "1", 4, false}}, 20));
     REQUIRE(changes.size() == 1);
     CHECK(changes[0] == StoreItem{"a", "", 20, true});
@@ -153,11 +153,11 @@
 TEST_CASE_METHOD(FollowerFixture, "prefixFollower_storeUnreachable_retriesWithIncreasingDelays")
 {
     REQUIRE(follower.nextCall(now));
-    follower.onResponse(failed(StoreEnd::unknown), now);
+    follower.onResponse(failed(StoreStatus::unknown), now);
     CHECK_FALSE(follower.isStoreReachable());
     CHECK_FALSE(follower.nextCall(now + 200ms));
     REQUIRE(follower.nextCall(now + 260ms));
-    follower.onResponse(failed(StoreEnd::notApplied), now + 260ms);
+    follower.onResponse(failed(StoreStatus::notApplied), now + 260ms);
     CHECK_FALSE(follower.nextCall(now + 600ms));
     REQUIRE(follower.nextCall(now + 800ms));
     follower.onResponse(page({}, 1), now + 800ms);
@@ -172,7 +172,7 @@
     follower.setRole(FollowRole::alone);
     answer(page({}, 7));
     CHECK(follower.validity(now) == 5s);
-    answer(failed(StoreEnd::unknown));
+    answer(failed(StoreStatus::unknown));
     CHECK(follower.validity(now) == 2s);
     const auto call = follower.nextCall(now);
     REQUIRE(call);
@@ -229,7 +229,7 @@
     other.onResponse(first, now);
     other.onUpdate({"", 5, 8, {{"left", "3", 7, false}}}, now);
     answer(first);
-    answer(failed(StoreEnd::historyLost));
+    answer(failed(StoreStatus::historyLost));
     const std::uint64_t base = follower.updateBase();
     const StorePage again = page({{"a", "4", 10, false}}, 12);
     answer(again);
@@ -241,7 +241,7 @@
     const auto known = other.updateSince("", 0);
     REQUIRE(known);
     CHECK(known->items == std::vector<StoreItem>{{"a", "4", 10, false}});
-    CHECK(updatesFromResponse("", base, true, follower, failed(StoreEnd::unknown)).empty());
+    CHECK(updatesFromResponse("", base, true, follower, failed(StoreStatus::unknown)).empty());
     CHECK(updatesFromResponse("", 0, false, follower, again).empty());
 }
 
