--- a/include/ibisnotch/metrics.h
+++ b/include/ibisnotch/metrics.h
@@ -19,9 +19,9 @@
     Duration total{};
     Duration firstByte{};
     int attempts = 0;
-    bool sentAway = false;
+    bool forwardedToRegion = false;
     // Handed on by another instance, which counts the request; only its cost is counted here.
-    bool forwarded = false;
+    bool receivedFromPeer = false;
     double cost = 0;
     double worthDelivered = 0;
     bool operator==(const RequestRecord &) const = default;
--- a/src/entry/dispatch-end.cc
+++ b/src/entry/dispatch-end.cc
@@ -122,8 +122,8 @@
     record.total = now - exchange.arrived;
     record.firstByte = m_firstByteAt.value_or(now) - exchange.arrived;
     record.attempts = m_attempts;
-    record.sentAway = m_forwardedToRegion;
-    record.forwarded = exchange.fromPeer;
+    record.forwardedToRegion = m_forwardedToRegion;
+    record.receivedFromPeer = exchange.fromPeer;
     record.cost = m_cost;
     const bool inTime = now <= exchange.deadline;
     const bool good = resultInfo(code).runState == RunState::run && inTime;
--- a/src/entry/gateway.cc
+++ b/src/entry/gateway.cc
@@ -88,7 +88,7 @@
     record.service = exchange.service->name;
     record.customer = exchange.customer->name;
     record.code = code;
-    record.forwarded = exchange.fromPeer;
+    record.receivedFromPeer = exchange.fromPeer;
     m_state.metrics.onRequest(record);
 }
 
--- a/src/net/log.cc
+++ b/src/net/log.cc
@@ -13,7 +13,7 @@
 namespace {
 
 // Some seconds of lines of a busy instance, at most about 2 MB.
-constexpr int queuedLines = 4096;
+constexpr int maxQueuedLines = 4096;
 
 std::string &instanceName()
 {
@@ -86,7 +86,7 @@
     // stop requests. Lines that find the queue full are dropped, and the first one after that is
     // a count of them.
     const auto queue = std::make_shared<log4cxx::AsyncAppender>();
-    queue->setBufferSize(queuedLines);
+    queue->setBufferSize(maxQueuedLines);
     queue->setBlocking(false);
     queue->addAppender(std::make_shared<log4cxx::ConsoleAppender>(layout));
     const auto root = log4cxx::Logger::getRootLogger();
--- a/src/net/metrics.cc
+++ b/src/net/metrics.cc
@@ -21,15 +21,16 @@
 
 // Upper bounds in seconds: twice as fine around targets of 0.4 to 1.5 s, the usual ones, and up to
 // their longest deadline.
-constexpr std::array<double, 14> bounds{0.005, 0.01, 0.025, 0.05, 0.1, 0.2, 0.3,
-                                        0.4,   0.5,  0.8,   1,    1.5, 5,   15};
+constexpr std::array<double, 14> bucketBounds{0.005, 0.01, 0.025, 0.05, 0.1, 0.2, 0.3,
+                                              0.4,   0.5,  0.8,   1,    1.5, 5,   15};
 
 // Counts by bound, which add up over instances as estimated quantiles do not.
-class Latency
+class LatencyHistogram
 {
 public:
-    Latency()
-        : m_buckets(hist::make_histogram(hist::axis::variable<>(bounds.begin(), bounds.end())))
+    LatencyHistogram()
+        : m_buckets(
+            hist::make_histogram(hist::axis::variable<>(bucketBounds.begin(), bucketBounds.end())))
     {
     }
 
@@ -44,9 +45,9 @@
         std::string out;
         // The axis has one bin below its first edge and one above its last.
         double below = 0;
-        for (std::size_t i = 0; i < bounds.size(); ++i) {
+        for (std::size_t i = 0; i < bucketBounds.size(); ++i) {
             below += m_buckets.at(static_cast<int>(i) - 1);
-            out += fmt::format("{}_bucket{{{},le=\"{}\"}} {:.0f}\n", name, labels, bounds[i],
+            out += fmt::format("{}_bucket{{{},le=\"{}\"}} {:.0f}\n", name, labels, bucketBounds[i],
                                below);
         }
         out += fmt::format("{}_bucket{{{},le=\"+Inf\"}} {}\n", name, labels, acc::count(m_all));
@@ -62,10 +63,10 @@
 
 struct Series
 {
-    Latency total;
-    Latency firstByte;
+    LatencyHistogram total;
+    LatencyHistogram firstByte;
     std::map<ResultCode, std::uint64_t> codes;
-    std::uint64_t sentAway = 0;
+    std::uint64_t forwardedToRegion = 0;
     double cost = 0;
     double worthDelivered = 0;
 };
@@ -78,9 +79,9 @@
     // However many customers there are, the text and the memory of all series stay bounded.
     Series &series(const RequestRecord &record)
     {
-        constexpr std::size_t mostSeries = 2048;
+        constexpr std::size_t maxSeries = 2048;
         const std::pair key{record.service, record.customer};
-        const bool fits = m_series.size() < mostSeries || m_series.count(key) > 0;
+        const bool fits = m_series.size() < maxSeries || m_series.count(key) > 0;
         return fits ? m_series[key] : m_series[{record.service, "others"}];
     }
 
@@ -89,7 +90,7 @@
     std::map<std::string, std::uint64_t> m_attempts; // by how they ended
     std::map<std::string, double> m_gauges;
     std::atomic<std::uint64_t> m_retries = 0;
-    std::atomic<std::uint64_t> m_silences = 0;
+    std::atomic<std::uint64_t> m_serversSilent = 0;
 };
 
 Metrics::Metrics() : m_d(std::make_unique<Private>()) { }
@@ -101,10 +102,10 @@
     const std::lock_guard lock(m_d->m_mutex);
     Series &series = m_d->series(record);
     series.cost += record.cost;
-    if (record.forwarded)
+    if (record.receivedFromPeer)
         return;
     ++series.codes[record.code];
-    series.sentAway += record.sentAway ? 1 : 0;
+    series.forwardedToRegion += record.forwardedToRegion ? 1 : 0;
     series.worthDelivered += record.worthDelivered;
     if (record.code != ResultCode::served)
         return;
@@ -120,7 +121,7 @@
 
 void Metrics::onServerSilent()
 {
-    ++m_d->m_silences;
+    ++m_d->m_serversSilent;
 }
 
 void Metrics::onRetry()
@@ -144,7 +145,8 @@
         for (const auto &[code, count] : series.codes)
             out += fmt::format("ibisnotch_requests_total{{{},code=\"{}\"}} {}\n", labels,
                                static_cast<int>(code), count);
-        out += fmt::format("ibisnotch_sent_away_total{{{}}} {}\n", labels, series.sentAway);
+        out += fmt::format("ibisnotch_sent_away_total{{{}}} {}\n", labels,
+                           series.forwardedToRegion);
         out += fmt::format("ibisnotch_cost_total{{{}}} {:.6f}\n", labels, series.cost);
         out += fmt::format("ibisnotch_worth_delivered_total{{{}}} {:.6f}\n", labels,
                            series.worthDelivered);
@@ -152,7 +154,7 @@
         out += series.firstByte.text("ibisnotch_first_byte_seconds", labels);
     }
     out += fmt::format("ibisnotch_retries_total {}\n", m_d->m_retries.load());
-    out += fmt::format("ibisnotch_servers_silent_total {}\n", m_d->m_silences.load());
+    out += fmt::format("ibisnotch_servers_silent_total {}\n", m_d->m_serversSilent.load());
     for (const auto &[end, count] : m_d->m_attempts)
         out += fmt::format("ibisnotch_attempts_total{{end=\"{}\"}} {}\n", end, count);
     for (const auto &[name, value] : m_d->m_gauges)
