--- a/src/decide/event-stream.cc
+++ b/src/decide/event-stream.cc
@@ -11,11 +11,11 @@
 
 namespace {
 
-constexpr std::string_view eventEnd = "\n\n";
-constexpr std::size_t largestEvent = 1U << 20;
+constexpr std::string_view eventSeparator = "\n\n";
+constexpr std::size_t maxEventBytes = 1U << 20;
 
 // The value of the field "id" of an event; empty if it has none.
-std::string_view numberOf(std::string_view event)
+std::string_view eventId(std::string_view event)
 {
     for (const absl::string_view line :
          absl::StrSplit(absl::string_view(event.data(), event.size()), '\n')) {
@@ -37,39 +37,39 @@
 
 } // namespace
 
-EventStream::EventStream(const std::string &lastEvent) : m_lastEvent(lastEvent)
+EventStreamParser::EventStreamParser(const std::string &lastEventId) : m_lastEventId(lastEventId)
 {
-    m_number = parseNumber(lastEvent).value_or(-1);
+    m_lastNumber = parseNumber(lastEventId).value_or(-1);
 }
 
-bool EventStream::checkEvent(std::string_view event)
+bool EventStreamParser::acceptEvent(std::string_view event)
 {
-    const std::string_view text = numberOf(event);
+    const std::string_view text = eventId(event);
     const auto number = parseNumber(text);
-    if (!number || *number <= m_number)
+    if (!number || *number <= m_lastNumber)
         return false;
-    ++m_count;
-    m_number = *number;
-    m_lastEvent = std::string(text);
+    ++m_eventCount;
+    m_lastNumber = *number;
+    m_lastEventId = std::string(text);
     return true;
 }
 
-bool EventStream::take(std::string_view data, std::string &out)
+bool EventStreamParser::consume(std::string_view data, std::string &out)
 {
     m_partial.append(data);
     std::size_t begin = 0;
     for (;;) {
-        const std::size_t end = m_partial.find(eventEnd, begin);
+        const std::size_t end = m_partial.find(eventSeparator, begin);
         if (end == std::string::npos)
             break;
-        if (!checkEvent(std::string_view(m_partial).substr(begin, end - begin)))
+        if (!acceptEvent(std::string_view(m_partial).substr(begin, end - begin)))
             return false;
-        const std::size_t next = end + eventEnd.size();
+        const std::size_t next = end + eventSeparator.size();
         out.append(m_partial, begin, next - begin);
         begin = next;
     }
     m_partial.erase(0, begin);
-    return m_partial.size() <= largestEvent;
+    return m_partial.size() <= maxEventBytes;
 }
 
 } // namespace ibisnotch
--- a/test/event-stream-test.cc
+++ b/test/event-stream-test.cc
@@ -22,18 +22,18 @@
         for (int i = 0; i < count; ++i)
             all += event(i);
         const auto cut = *rc::gen::inRange<std::size_t>(0, all.size() + 1);
-        EventStream stream("");
+        EventStreamParser stream("");
         std::string out;
         std::size_t begin = 0;
         while (begin < cut) {
             const auto size = std::min(cut - begin, *rc::gen::inRange<std::size_t>(1, 9));
-            RC_ASSERT(stream.take(all.substr(begin, size), out));
+            RC_ASSERT(stream.consume(all.substr(begin, size), out));
             begin += size;
         }
         RC_ASSERT(all.compare(0, out.size(), out) == 0);
         RC_ASSERT((out.empty() || out.ends_with("\n\n")));
-        RC_ASSERT((stream.whole() == (out.size() == cut)));
-        RC_ASSERT((out.empty() == stream.lastEvent().empty()));
+        RC_ASSERT((stream.isComplete() == (out.size() == cut)));
+        RC_ASSERT((out.empty() == stream.lastEventId().empty()));
     });
 }
 
@@ -41,13 +41,13 @@
 // off, it goes on at another server, which starts too early. Why: numbers that do not rise show it.
 TEST_CASE("eventStream_numberThatDoesNotRise_isRefused")
 {
-    EventStream stream("4");
+    EventStreamParser stream("4");
     std::string out;
-    CHECK(stream.take(event(5), out));
-    CHECK_FALSE(stream.take(event(5), out));
+    CHECK(stream.consume(event(5), out));
+    CHECK_FALSE(stream.consume(event(5), out));
     CHECK(out == event(5));
-    EventStream resumed("4");
-    CHECK_FALSE(resumed.take(event(4), out));
-    EventStream unnumbered("");
-    CHECK_FALSE(unnumbered.take("data: x\n\n", out));
+    EventStreamParser resumed("4");
+    CHECK_FALSE(resumed.consume(event(4), out));
+    EventStreamParser unnumbered("");
+    CHECK_FALSE(unnumbered.consume("data: x\n\n", out));
 }
