--- a/include/ibisnotch/answer-check.h
+++ b/include/ibisnotch/response-check.h
@@ -10,37 +10,37 @@
 
 constexpr std::string_view requestIdHeader = "X-Request-Id";
 
-enum class AnswerForm {
+enum class ResponseFormat {
     eventStream, // server-sent events of chat completion chunks, closed by "[DONE]"
     json,
     plain,
 };
 
-enum class AnswerVerdict { good, notOurs, broken };
+enum class ResponseVerdict { valid, wrongRequest, malformed };
 
 // Checks one answer as it arrives. The other end must echo the request's id; each chunk of a stream
 // must carry the same completion id.
-class AnswerCheck
+class ResponseCheck
 {
 public:
-    AnswerCheck(std::string requestId, AnswerForm form);
+    ResponseCheck(std::string requestId, ResponseFormat format);
 
-    AnswerVerdict onHead(int status, const Headers &headers);
+    ResponseVerdict onHead(int status, const Headers &headers);
 
     // Takes data and returns in `out` what may be passed on: whole events of a stream, everything
     // of other answers.
-    AnswerVerdict onData(std::string_view data, std::string &out);
+    ResponseVerdict onData(std::string_view data, std::string &out);
 
     // After the last byte: whether nothing is missing.
-    bool whole() const;
+    bool isComplete() const;
 
     int status() const { return m_status; }
 
 private:
-    AnswerVerdict checkEvent(std::string_view event);
+    ResponseVerdict checkEvent(std::string_view event);
 
     std::string m_requestId;
-    AnswerForm m_form;
+    ResponseFormat m_format;
     int m_status = 0;
     std::string m_partial; // of an event not yet complete
     std::string m_body; // json only, up to the limit
--- /dev/null
+++ b/src/decide/response-check.cc
@@ -0,0 +1,96 @@
+#include "ibisnotch/response-check.h"
+
+#include <nlohmann/json.hpp>
+
+namespace ibisnotch {
+
+namespace {
+
+constexpr std::string_view eventSeparator = "\n\n";
+constexpr std::string_view dataField = "data: ";
+constexpr std::string_view doneData = "[DONE]";
+constexpr std::size_t maxEventBytes = 1U << 20;
+constexpr std::size_t maxJsonBytes = 8U << 20;
+
+} // namespace
+
+ResponseCheck::ResponseCheck(std::string requestId, ResponseFormat format)
+    : m_requestId(std::move(requestId)), m_format(format)
+{
+}
+
+ResponseVerdict ResponseCheck::onHead(int status, const Headers &headers)
+{
+    m_status = status;
+    const auto echoed = headers.get(requestIdHeader);
+    if (!echoed || *echoed != m_requestId)
+        return ResponseVerdict::wrongRequest;
+    const auto type = headers.get("Content-Type").value_or("");
+    const bool streamed = type.rfind("text/event-stream", 0) == 0;
+    // An error answer to a streamed request is a plain JSON document.
+    if (m_format == ResponseFormat::eventStream && !streamed)
+        m_format = ResponseFormat::json;
+    return ResponseVerdict::valid;
+}
+
+ResponseVerdict ResponseCheck::checkEvent(std::string_view event)
+{
+    if (event.substr(0, dataField.size()) != dataField)
+        return ResponseVerdict::valid; // a comment or another field
+    const std::string_view data = event.substr(dataField.size());
+    if (data == doneData) {
+        m_done = true;
+        return ResponseVerdict::valid;
+    }
+    const auto json = nlohmann::json::parse(data, nullptr, false);
+    if (!json.is_object() || m_done)
+        return ResponseVerdict::malformed;
+    const std::string id = json.value("id", "");
+    if (m_completionId.empty())
+        m_completionId = id;
+    // Two streams that were mixed up below HTTP would each look well formed; the completion id is
+    // what tells one from the other.
+    if (id.empty() || id != m_completionId)
+        return ResponseVerdict::wrongRequest;
+    return ResponseVerdict::valid;
+}
+
+ResponseVerdict ResponseCheck::onData(std::string_view data, std::string &out)
+{
+    if (m_format != ResponseFormat::eventStream) {
+        out.append(data);
+        if (m_format == ResponseFormat::json && m_body.size() <= maxJsonBytes)
+            m_body.append(data);
+        return ResponseVerdict::valid;
+    }
+    m_partial.append(data);
+    std::size_t begin = 0;
+    for (;;) {
+        const std::size_t end = m_partial.find(eventSeparator, begin);
+        if (end == std::string::npos)
+            break;
+        const ResponseVerdict verdict
+            = checkEvent(std::string_view(m_partial).substr(begin, end - begin));
+        if (verdict != ResponseVerdict::valid)
+            return verdict;
+        begin = end + eventSeparator.size();
+    }
+    out.append(m_partial, 0, begin);
+    m_partial.erase(0, begin);
+    return m_partial.size() > maxEventBytes ? ResponseVerdict::malformed : ResponseVerdict::valid;
+}
+
+bool ResponseCheck::isComplete() const
+{
+    switch (m_format) {
+    case ResponseFormat::eventStream:
+        return m_done && m_partial.empty();
+    case ResponseFormat::json:
+        return m_body.size() > maxJsonBytes || nlohmann::json::accept(m_body);
+    case ResponseFormat::plain:
+        return true;
+    }
+    return true;
+}
+
+} // namespace ibisnotch
--- a/src/entry/chat-protocol.cc
+++ b/src/entry/chat-protocol.cc
@@ -2,8 +2,8 @@
 
 #include <absl/strings/numbers.h>
 
-#include "ibisnotch/answer-check.h"
 #include "ibisnotch/load-metrics.h"
+#include "ibisnotch/response-check.h"
 
 namespace ibisnotch {
 
@@ -14,20 +14,21 @@
 class ChatReader final : public ResponseReader
 {
 public:
-    ChatReader(const std::string &requestId, AnswerForm form, bool fromPeer)
-        : m_check(requestId, form), m_form(form), m_fromPeer(fromPeer)
+    ChatReader(const std::string &requestId, ResponseFormat format, bool fromPeer)
+        : m_check(requestId, format), m_format(format), m_fromPeer(fromPeer)
     {
     }
 
     std::optional<AttemptOutcome> onHead(int status, const Headers &headers) override
     {
         m_leaving = !m_fromPeer && headers.get("X-Engine-Draining").has_value();
-        if (m_check.onHead(status, headers) != AnswerVerdict::good)
+        if (m_check.onHead(status, headers) != ResponseVerdict::valid)
             return AttemptOutcome::mismatched;
         const std::string type = headers.get("Content-Type").value_or("");
-        m_streams = m_form == AnswerForm::eventStream && type.rfind("text/event-stream", 0) == 0;
+        m_streams
+            = m_format == ResponseFormat::eventStream && type.rfind("text/event-stream", 0) == 0;
         if (!m_fromPeer)
-            return judgeStatus(status, headers);
+            return classifyStatus(status, headers);
         int code = 0;
         if (absl::SimpleAtoi(headers.get("X-Result-Code").value_or(""), &code))
             m_code = static_cast<ResultCode>(code);
@@ -37,11 +38,11 @@
     std::optional<AttemptOutcome> onData(std::string_view data, std::string &out) override
     {
         switch (m_check.onData(data, out)) {
-        case AnswerVerdict::good:
+        case ResponseVerdict::valid:
             return std::nullopt;
-        case AnswerVerdict::notOurs:
+        case ResponseVerdict::wrongRequest:
             return AttemptOutcome::mismatched;
-        case AnswerVerdict::broken:
+        case ResponseVerdict::malformed:
             break;
         }
         return AttemptOutcome::truncated;
@@ -49,7 +50,7 @@
 
     AttemptOutcome attemptEnd() const override
     {
-        return m_check.whole() ? AttemptOutcome::answered : AttemptOutcome::truncated;
+        return m_check.isComplete() ? AttemptOutcome::answered : AttemptOutcome::truncated;
     }
 
     bool isStreaming() const override { return m_streams; }
@@ -57,7 +58,7 @@
     bool isServerLeaving() const override { return m_leaving; }
 
 private:
-    static std::optional<AttemptOutcome> judgeStatus(int status, const Headers &headers)
+    static std::optional<AttemptOutcome> classifyStatus(int status, const Headers &headers)
     {
         if (headers.get("X-Not-Run"))
             return AttemptOutcome::refusedNotRun;
@@ -66,8 +67,8 @@
         return std::nullopt;
     }
 
-    AnswerCheck m_check;
-    AnswerForm m_form;
+    ResponseCheck m_check;
+    ResponseFormat m_format;
     bool m_fromPeer;
     bool m_streams = false;
     bool m_leaving = false;
@@ -139,10 +140,10 @@
                                                bool fromPeer) const override
     {
         const bool chat = exchange.service->kind == ServiceKind::model;
-        AnswerForm form = chat ? AnswerForm::json : AnswerForm::plain;
+        ResponseFormat format = chat ? ResponseFormat::json : ResponseFormat::plain;
         if (exchange.streaming)
-            form = AnswerForm::eventStream;
-        return std::make_unique<ChatReader>(exchange.id, form, fromPeer);
+            format = ResponseFormat::eventStream;
+        return std::make_unique<ChatReader>(exchange.id, format, fromPeer);
     }
 
     OutgoingRequest makeHealthCheck(const FleetConfig &, const BackendServer &server) const override
