--- a/src/entry/chat-pages.cc
+++ b/src/entry/chat-pages.cc
@@ -13,7 +13,7 @@
 
 namespace {
 
-constexpr int mostKeys = 32;
+constexpr int maxKeysPerRequest = 32;
 
 HttpResponse json(int status, const nlohmann::json &body)
 {
@@ -40,7 +40,7 @@
     if (request.path == "/v1/entries")
         return entries(request);
     if (m_forPeers) {
-        if (auto response = answerOperator(m_services, request))
+        if (auto response = handleOperatorRequest(m_services, request))
             return *std::move(response);
     }
     return refusalResponse(newRequestId(m_state), {ResultCode::noSuchPath, "", {}},
@@ -88,7 +88,7 @@
     const bool here
         = std::find(allowed.begin(), allowed.end(), m_state.settings.region) != allowed.end();
     const std::lock_guard lock(m_state.keysMutex);
-    for (int i = 0; here && !m_state.stopping && i < std::min(wanted, mostKeys); ++i) {
+    for (int i = 0; here && !m_state.stopping && i < std::min(wanted, maxKeysPerRequest); ++i) {
         if (auto key
             = m_state.issuedKeys.issue(customer->name, m_state.clock.now(), m_state.random))
             keys.push_back(*std::move(key));
--- a/src/entry/control-loads.cc
+++ b/src/entry/control-loads.cc
@@ -177,23 +177,23 @@
     }
 }
 
-void Control::broadcastColdUpdate(const std::optional<ColdUpdate> &news)
+void Control::broadcastColdUpdate(const std::optional<ColdUpdate> &update)
 {
-    if (!news)
+    if (!update)
         return;
     publishRoutingTable();
     GossipMessage message = makeEmptyMessage();
-    message.coldUpdates.push_back(*news);
+    message.coldUpdates.push_back(*update);
     sendTwiceToRegion(std::move(message));
 }
 
-void Control::broadcastSilenceUpdates(std::vector<SilenceUpdate> news)
+void Control::broadcastSilenceUpdates(std::vector<SilenceUpdate> updates)
 {
-    if (news.empty())
+    if (updates.empty())
         return;
     publishRoutingTable();
     GossipMessage message = makeEmptyMessage();
-    message.silenceUpdates = std::move(news);
+    message.silenceUpdates = std::move(updates);
     sendToRegion(message);
 }
 
--- a/src/entry/control.cc
+++ b/src/entry/control.cc
@@ -107,9 +107,9 @@
             const bool local = member.region == m_state.settings.region;
             if (!local && others-- <= 0)
                 continue;
-            GossipMessage news = makeEmptyMessage();
-            news.crashMarks = marks;
-            m_link.sendGossip(member.gossipAddress, news);
+            GossipMessage message = makeEmptyMessage();
+            message.crashMarks = marks;
+            m_link.sendGossip(member.gossipAddress, message);
         }
     });
 }
@@ -312,11 +312,11 @@
     return static_cast<std::size_t>(local) + 1;
 }
 
-void Control::broadcastRangeUpdate(RangeUpdate news)
+void Control::broadcastRangeUpdate(RangeUpdate update)
 {
-    const bool changes = !news.items.empty();
+    const bool changes = !update.items.empty();
     GossipMessage message = makeEmptyMessage();
-    message.rangeUpdates.push_back(std::move(news));
+    message.rangeUpdates.push_back(std::move(update));
     if (changes)
         return sendTwiceToRegion(std::move(message));
     sendToRegion(message);
@@ -336,12 +336,12 @@
     if (message.probe.sender.region == m_state.settings.region) {
         for (const CompactLoad &load : message.loads)
             m_routingDirty |= m_state.servers.onReport(load, now);
-        for (const SilenceUpdate &news : message.silenceUpdates)
-            m_silentServers.onUpdate(news);
-        for (const RangeUpdate &news : message.rangeUpdates)
-            m_source->onRangeUpdate(news, from);
-        for (const ColdUpdate &news : message.coldUpdates)
-            m_coldServers.onUpdate(news);
+        for (const SilenceUpdate &update : message.silenceUpdates)
+            m_silentServers.onUpdate(update);
+        for (const RangeUpdate &update : message.rangeUpdates)
+            m_source->onRangeUpdate(update, from);
+        for (const ColdUpdate &update : message.coldUpdates)
+            m_coldServers.onUpdate(update);
         if (message.hasCustomerUses)
             m_state.usageCaps.onInstanceUsage(message.probe.sender.name, message.customerUses, now);
         if (!message.silenceUpdates.empty() || !message.coldUpdates.empty())
@@ -431,10 +431,10 @@
 {
     // Without loads: a change a few seconds apart would otherwise cost more than it carries.
     for (OutgoingProbe &item : m_membership.broadcast(gossipFanout, m_state.random)) {
-        GossipMessage news;
-        news.probe = std::move(item.probe);
-        news.configVersion = m_state.gate.version();
-        m_link.sendGossip(item.address, news);
+        GossipMessage message;
+        message.probe = std::move(item.probe);
+        message.configVersion = m_state.gate.version();
+        m_link.sendGossip(item.address, message);
     }
 }
 
--- a/src/entry/control.h
+++ b/src/entry/control.h
@@ -42,7 +42,7 @@
     bool isResponsibleFor(std::string_view key, std::size_t count) const;
     // Instances of the region that are alive, this one included.
     std::size_t regionSize() const;
-    void broadcastRangeUpdate(RangeUpdate news);
+    void broadcastRangeUpdate(RangeUpdate update);
     // Asks another instance for what is newer of these ranges; null if it does not answer.
     void requestRanges(const std::string &gossipAddress, std::vector<RangeRequest> questions,
                        std::function<void(std::optional<PeerReply>)> done);
@@ -80,9 +80,9 @@
     void updateOwnLoad();
 
     void checkColdServers();
-    void broadcastColdUpdate(const std::optional<ColdUpdate> &news);
+    void broadcastColdUpdate(const std::optional<ColdUpdate> &update);
     void checkSilentServers();
-    void broadcastSilenceUpdates(std::vector<SilenceUpdate> news);
+    void broadcastSilenceUpdates(std::vector<SilenceUpdate> updates);
     void sendToRegion(const GossipMessage &message);
     void sendTwiceToRegion(GossipMessage message);
     GossipMessage makeEmptyMessage();
--- a/src/entry/document-source.cc
+++ b/src/entry/document-source.cc
@@ -10,10 +10,10 @@
 namespace {
 
 constexpr std::string_view configKey = "ibisnotch/config/current";
-constexpr std::string_view listKey = "platform/instances";
-constexpr Duration watchTime = std::chrono::seconds(30);
-constexpr Duration watchPause = std::chrono::seconds(1);
-constexpr Duration sweepPeriod = std::chrono::minutes(30);
+constexpr std::string_view leavingListKey = "platform/instances";
+constexpr Duration maxWatchTime = std::chrono::seconds(30);
+constexpr Duration retryDelay = std::chrono::seconds(1);
+constexpr Duration claimSweepPeriod = std::chrono::minutes(30);
 constexpr std::size_t watchersPerRegion = 2;
 
 // {"leaving": [{"name": "bp-m1", "sinceMs": 1760000000000}]}
@@ -37,17 +37,17 @@
 void DocumentSource::tick()
 {
     watchConfig();
-    watchList();
+    watchLeavingList();
     const TimePoint now = m_state.clock.now();
-    if (now < m_nextSweep)
+    if (now < m_nextClaimSweep)
         return;
-    m_nextSweep = now + sweepPeriod;
-    sweepClaims();
+    m_nextClaimSweep = now + claimSweepPeriod;
+    removeExpiredClaimPages();
 }
 
 void DocumentSource::onConfig()
 {
-    m_state.servers.onLeavingList(m_leavingList);
+    m_state.servers.onLeavingList(m_leavingNotices);
 }
 
 void DocumentSource::watchConfig()
@@ -58,17 +58,17 @@
         return;
     m_watchingConfig = true;
     const auto done
-        = [this](const StoreRead &read) { m_control.post([this, read] { onStoreConfig(read); }); };
+        = [this](const StoreRead &read) { m_control.post([this, read] { onConfigRead(read); }); };
     if (m_configIndex == 0)
         m_store.read(std::string(configKey), done);
     else
-        m_store.watch(std::string(configKey), m_configIndex, watchTime, done);
+        m_store.watch(std::string(configKey), m_configIndex, maxWatchTime, done);
 }
 
-void DocumentSource::onStoreConfig(const StoreRead &read)
+void DocumentSource::onConfigRead(const StoreRead &read)
 {
-    const bool good = read.status == StoreStatus::ok;
-    if (good) {
+    const bool succeeded = read.status == StoreStatus::ok;
+    if (succeeded) {
         m_configIndex = read.index;
         const auto document = parseDocument(read.value);
         if (document.ok())
@@ -76,12 +76,12 @@
         else
             logLine(LogPart::config, LogLevel::error, "Document not readable.");
     }
-    m_control.postAfter(good ? Duration(0) : watchPause, [this] { m_watchingConfig = false; });
+    m_control.postAfter(succeeded ? Duration(0) : retryDelay, [this] { m_watchingConfig = false; });
 }
 
 // Removes the claim pages of hours whose keys nobody accepts any more. Each hour is swept
 // several times, so that a store outage or a change of the sweeper leaves nothing behind.
-void DocumentSource::sweepClaims()
+void DocumentSource::removeExpiredClaimPages()
 {
     const auto config = m_state.gate.config();
     if (!config || m_state.settings.region != config->regions.front().name
@@ -96,31 +96,33 @@
     }
 }
 
-void DocumentSource::watchList()
+void DocumentSource::watchLeavingList()
 {
-    if (m_watchingList || !m_control.isResponsibleFor("list", watchersPerRegion))
+    if (m_watchingLeavingList || !m_control.isResponsibleFor("list", watchersPerRegion))
         return;
-    m_watchingList = true;
-    const auto done
-        = [this](const StoreRead &read) { m_control.post([this, read] { onList(read); }); };
-    if (m_listIndex == 0)
-        m_store.read(std::string(listKey), done);
+    m_watchingLeavingList = true;
+    const auto done = [this](const StoreRead &read) {
+        m_control.post([this, read] { onLeavingListRead(read); });
+    };
+    if (m_leavingListIndex == 0)
+        m_store.read(std::string(leavingListKey), done);
     else
-        m_store.watch(std::string(listKey), m_listIndex, watchTime, done);
+        m_store.watch(std::string(leavingListKey), m_leavingListIndex, maxWatchTime, done);
 }
 
-void DocumentSource::onList(const StoreRead &read)
+void DocumentSource::onLeavingListRead(const StoreRead &read)
 {
-    const bool good = read.status == StoreStatus::ok;
-    const auto list = nlohmann::json::parse(good ? read.value : "", nullptr, false);
-    if (good)
-        m_listIndex = read.index;
+    const bool succeeded = read.status == StoreStatus::ok;
+    const auto list = nlohmann::json::parse(succeeded ? read.value : "", nullptr, false);
+    if (succeeded)
+        m_leavingListIndex = read.index;
     if (list.is_object()) {
-        m_leavingList = parseNotices(list);
-        m_state.servers.onLeavingList(m_leavingList);
+        m_leavingNotices = parseNotices(list);
+        m_state.servers.onLeavingList(m_leavingNotices);
         m_control.publishAndGossip();
     }
-    m_control.postAfter(good ? Duration(0) : watchPause, [this] { m_watchingList = false; });
+    m_control.postAfter(succeeded ? Duration(0) : retryDelay,
+                        [this] { m_watchingLeavingList = false; });
 }
 
 } // namespace ibisnotch
--- a/src/entry/document-source.h
+++ b/src/entry/document-source.h
@@ -21,20 +21,20 @@
 
 private:
     void watchConfig();
-    void onStoreConfig(const StoreRead &read);
-    void watchList();
-    void onList(const StoreRead &read);
-    void sweepClaims();
+    void onConfigRead(const StoreRead &read);
+    void watchLeavingList();
+    void onLeavingListRead(const StoreRead &read);
+    void removeExpiredClaimPages();
 
     EntryState &m_state;
     Control &m_control;
     Store &m_store;
     std::uint64_t m_configIndex = 0;
-    std::uint64_t m_listIndex = 0;
+    std::uint64_t m_leavingListIndex = 0;
     bool m_watchingConfig = false;
-    bool m_watchingList = false;
-    TimePoint m_nextSweep{};
-    std::vector<LeavingNotice> m_leavingList;
+    bool m_watchingLeavingList = false;
+    TimePoint m_nextClaimSweep{};
+    std::vector<LeavingNotice> m_leavingNotices;
 };
 
 } // namespace ibisnotch
--- a/src/entry/instance.cc
+++ b/src/entry/instance.cc
@@ -8,13 +8,13 @@
 
 namespace {
 
-constexpr auto drainPoll = std::chrono::milliseconds(20);
+constexpr auto drainPollInterval = std::chrono::milliseconds(20);
 // Callers that hold our address for a moment longer are refused with a list of the others.
-constexpr Duration goodbyeTime = std::chrono::milliseconds(500);
+constexpr Duration minNoticeTime = std::chrono::milliseconds(500);
 // Callers that were told of this instance before it began to stop come until their list is over.
 // Some keep it longer and find nobody; they then ask elsewhere, and an instance that is back sooner
 // leaves its region short of one for less time.
-constexpr Duration afterServing = std::chrono::milliseconds(300);
+constexpr Duration extraServeTime = std::chrono::milliseconds(300);
 
 } // namespace
 
@@ -115,15 +115,15 @@
     callers.closeAfterResponses();
     // Whoever still comes is told at once to go elsewhere, rather than find nobody.
     const Duration serveOn = m_state.settings.drainAcceptTime;
-    std::this_thread::sleep_for(serveOn.count() > 0 ? serveOn + afterServing : goodbyeTime);
+    std::this_thread::sleep_for(serveOn.count() > 0 ? serveOn + extraServeTime : minNoticeTime);
     callers.stopAccepting();
     while (busy()) {
         if (m_state.clock.now() >= until)
             return false;
-        std::this_thread::sleep_for(drainPoll);
+        std::this_thread::sleep_for(drainPollInterval);
     }
     // The last bytes of the last answers are still on their way out of this process.
-    std::this_thread::sleep_for(drainPoll * 5);
+    std::this_thread::sleep_for(drainPollInterval * 5);
     return true;
 }
 
--- a/src/entry/operators.cc
+++ b/src/entry/operators.cc
@@ -177,7 +177,8 @@
 
 } // namespace
 
-std::optional<HttpResponse> answerOperator(DispatchServices &services, const HttpRequest &request)
+std::optional<HttpResponse> handleOperatorRequest(DispatchServices &services,
+                                                  const HttpRequest &request)
 {
     EntryState &state = services.state;
     if (request.path == "/metrics")
--- a/src/entry/operators.h
+++ b/src/entry/operators.h
@@ -10,6 +10,7 @@
 
 // /metrics, /admin/status, /admin/explain?id=ID, /admin/burn, /admin/drain?server=NAME,
 // /admin/undrain?server=NAME. Nothing if the path is none of these.
-std::optional<HttpResponse> answerOperator(DispatchServices &services, const HttpRequest &request);
+std::optional<HttpResponse> handleOperatorRequest(DispatchServices &services,
+                                                  const HttpRequest &request);
 
 } // namespace ibisnotch
--- a/src/entry/range-source.cc
+++ b/src/entry/range-source.cc
@@ -8,12 +8,12 @@
 
 namespace {
 
-constexpr std::size_t allWatchUpTo = 5; // instances of a region
+constexpr std::size_t maxInstancesAllWatching = 5; // instances of a region
 // One may be cut off from the store; news then still comes from the other.
 constexpr std::size_t relaysPerRegion = 2;
 // The store tells all instances of a region within milliseconds of each other, and a little more
 // where it gathers changes.
-constexpr Duration storeIsFirst = std::chrono::milliseconds(250);
+constexpr Duration peerRequestDelay = std::chrono::milliseconds(250);
 // Where a change was heard of, in log lines.
 constexpr std::string_view sourceStore = "store";
 constexpr std::string_view sourcePeer = "peer";
@@ -37,12 +37,12 @@
     for (const auto &range : m_ranges)
         advance(*range);
     m_changed |= m_servers.expire(m_state.clock.now());
-    noteListState();
-    noteConfigState();
+    updateListState();
+    updateConfigState();
     publish();
 }
 
-void RangeSource::noteListState()
+void RangeSource::updateListState()
 {
     for (const auto &range : m_ranges) {
         if (range->prefix != m_format->serverPrefix())
@@ -58,7 +58,7 @@
     }
 }
 
-void RangeSource::noteConfigState()
+void RangeSource::updateConfigState()
 {
     for (const auto &range : m_ranges) {
         if (range->prefix != m_format->configPrefix())
@@ -73,11 +73,12 @@
 // and tell the others, who ask the store themselves once they hear nothing.
 void RangeSource::chooseRoles()
 {
-    const bool few = m_control.regionSize() <= allWatchUpTo;
+    const bool isSmallRegion = m_control.regionSize() <= maxInstancesAllWatching;
     for (const auto &range : m_ranges) {
-        const bool first = m_control.isResponsibleFor("range " + range->prefix, relaysPerRegion);
-        range->role = first ? FollowRole::relay : FollowRole::listener;
-        if (few)
+        const bool responsible
+            = m_control.isResponsibleFor("range " + range->prefix, relaysPerRegion);
+        range->role = responsible ? FollowRole::relay : FollowRole::listener;
+        if (isSmallRegion)
             range->role = FollowRole::alone;
         range->follower.setRole(range->role);
     }
@@ -90,19 +91,19 @@
     return found == m_ranges.end() ? nullptr : found->get();
 }
 
-void RangeSource::onRangeUpdate(const RangeUpdate &news, const std::string &from)
+void RangeSource::onRangeUpdate(const RangeUpdate &update, const std::string &from)
 {
-    Range *range = findRange(rangeId(news.prefix));
+    Range *range = findRange(rangeId(update.prefix));
     if (range == nullptr)
         return;
-    takeNews(*range, news, m_state.clock.now());
-    if (news.asOf > range->follower.asOf() && !range->follower.isStoreReachable())
+    applyUpdate(*range, update, m_state.clock.now());
+    if (update.asOf > range->follower.asOf() && !range->follower.isStoreReachable())
         requestFromPeer(*range, from);
 }
 
-bool RangeSource::takeNews(Range &range, const RangeUpdate &news, TimePoint at)
+bool RangeSource::applyUpdate(Range &range, const RangeUpdate &update, TimePoint at)
 {
-    const std::vector<StoreItem> changes = range.follower.onUpdate(news, at);
+    const std::vector<StoreItem> changes = range.follower.onUpdate(update, at);
     for (const StoreItem &item : changes)
         apply(item, sourcePeer);
     publish();
@@ -111,36 +112,36 @@
 
 std::vector<RangePosition> RangeSource::positions() const
 {
-    std::vector<RangePosition> marks;
+    std::vector<RangePosition> positions;
     const TimePoint now = m_state.clock.now();
     for (const auto &range : m_ranges) {
         if (range->follower.lastChange() > 0)
-            marks.push_back({range->id, range->follower.lastChange(),
+            positions.push_back({range->id, range->follower.lastChange(),
                              ageInMs(range->follower.lastConfirmedAt(), now)});
     }
-    return marks;
+    return positions;
 }
 
-void RangeSource::onPositions(const std::vector<RangePosition> &marks, const std::string &from)
+void RangeSource::onPositions(const std::vector<RangePosition> &positions, const std::string &from)
 {
-    for (const RangePosition &mark : marks) {
-        if (Range *range = findRange(mark.range))
-            onPosition(*range, mark, from);
+    for (const RangePosition &position : positions) {
+        if (Range *range = findRange(position.range))
+            onPosition(*range, position, from);
     }
 }
 
 // The store may turn single instances away, or its answers may be lost, for as long as it likes.
 // Without its neighbours' knowledge an instance would go on sending to servers that have been
 // evacuated, are leaving or bear little since they turned cold.
-void RangeSource::onPosition(Range &range, const RangePosition &mark, const std::string &from)
+void RangeSource::onPosition(Range &range, const RangePosition &position, const std::string &from)
 {
     const TimePoint now = m_state.clock.now();
-    if (range.follower.onPosition(mark.lastChange, now - std::chrono::milliseconds(mark.ageMs)))
+    if (range.follower.onPosition(position.lastChange, now - std::chrono::milliseconds(position.ageMs)))
         return;
     if (!range.follower.isStoreReachable())
         return requestFromPeer(range, from);
     // The store's own answer is likely to be on its way.
-    m_control.postAfter(storeIsFirst, [this, &range, from, missed = mark.lastChange] {
+    m_control.postAfter(peerRequestDelay, [this, &range, from, missed = position.lastChange] {
         if (range.follower.asOf() < missed)
             requestFromPeer(range, from);
     });
@@ -148,9 +149,9 @@
 
 void RangeSource::requestFromPeer(Range &range, const std::string &from)
 {
-    if (range.asking)
+    if (range.peerRequestPending)
         return;
-    range.asking = true;
+    range.peerRequestPending = true;
     const bool watching = range.follower.isWatching();
     const std::uint64_t known = watching ? range.follower.asOf() : 0;
     logLine(LogPart::store, LogLevel::info, "Changes asked of a peer.",
@@ -159,24 +160,24 @@
              {"known", std::to_string(known)},
              {"storeReachable", range.follower.isStoreReachable() ? "yes" : "no"}});
     m_control.requestRanges(from, {{range.id, known}}, [this, &range](const auto &reply) {
-        range.asking = false;
+        range.peerRequestPending = false;
         if (!reply)
             return;
         for (const RangeReply &one : reply->rangeReplies) {
             if (rangeId(one.update.prefix) == range.id)
-                takeReply(range, one);
+                applyReply(range, one);
         }
     });
 }
 
-void RangeSource::takeReply(Range &range, const RangeReply &reply)
+void RangeSource::applyReply(Range &range, const RangeReply &reply)
 {
     const TimePoint at = m_state.clock.now() - std::chrono::milliseconds(reply.ageMs);
-    const RangeUpdate &news = reply.update;
-    const bool changed = takeNews(range, news, at);
+    const RangeUpdate &update = reply.update;
+    const bool changed = applyUpdate(range, update, at);
     // The store may answer nobody in the region, so that this is the first to hear it.
-    if (changed && news.base > 0)
-        m_control.broadcastRangeUpdate(makeRangeUpdate(news.prefix, news.base, news.asOf, news.items));
+    if (changed && update.base > 0)
+        m_control.broadcastRangeUpdate(makeRangeUpdate(update.prefix, update.base, update.asOf, update.items));
 }
 
 std::vector<RangeReply> RangeSource::updatesSince(const std::vector<RangeRequest> &questions) const
@@ -187,9 +188,9 @@
         for (const auto &range : m_ranges) {
             if (range->id != question.range)
                 continue;
-            if (auto news = range->follower.updateSince(range->prefix, question.known))
+            if (auto update = range->follower.updateSince(range->prefix, question.known))
                 replies.push_back(
-                    {*std::move(news), ageInMs(range->follower.lastConfirmedAt(), now)});
+                    {*std::move(update), ageInMs(range->follower.lastConfirmedAt(), now)});
         }
     }
     return replies;
@@ -219,19 +220,19 @@
     for (const StoreItem &item : range.follower.onResponse(page, m_state.clock.now()))
         apply(item, sourceStore);
     // Where all watch, each still tells what changed: the store may not answer the others.
-    const bool tells = range.role == FollowRole::relay
+    const bool broadcasts = range.role == FollowRole::relay
         || (range.role == FollowRole::alone && !page.items.empty());
-    if (tells) {
-        for (RangeUpdate &news :
+    if (broadcasts) {
+        for (RangeUpdate &update :
              updatesFromResponse(range.prefix, base, watched, range.follower, page))
-            m_control.broadcastRangeUpdate(std::move(news));
+            m_control.broadcastRangeUpdate(std::move(update));
     }
-    noteReach(range);
+    logReachability(range);
     publish();
     advance(range);
 }
 
-void RangeSource::noteReach(Range &range)
+void RangeSource::logReachability(Range &range)
 {
     const bool reachable = range.follower.isStoreReachable();
     if (reachable == range.wasReachable)
@@ -258,7 +259,7 @@
                  {"source", std::string(source)}});
         return;
     }
-    if (const auto *bad = std::get_if<BadRecord>(&record)) {
+    if (const auto *bad = std::get_if<InvalidRecord>(&record)) {
         logLine(LogPart::store, LogLevel::warn, "Record not readable.",
                 {{"key", item.key},
                  {"revision", std::to_string(item.revision)},
--- a/src/entry/range-source.h
+++ b/src/entry/range-source.h
@@ -25,20 +25,20 @@
 };
 
 // A record that cannot be read, with the reason.
-struct BadRecord
+struct InvalidRecord
 {
     std::string reason;
-    bool operator==(const BadRecord &) const = default;
+    bool operator==(const InvalidRecord &) const = default;
 };
 
 // A key that this version does not know.
-struct OtherRecord
+struct UnknownRecord
 {
-    bool operator==(const OtherRecord &) const = default;
+    bool operator==(const UnknownRecord &) const = default;
 };
 
 using Record
-    = std::variant<ConfigDocument, ListedServer, EvacuatedDataCentre, BadRecord, OtherRecord>;
+    = std::variant<ConfigDocument, ListedServer, EvacuatedDataCentre, InvalidRecord, UnknownRecord>;
 
 // How the platform writes its records.
 class RecordFormat
@@ -65,9 +65,9 @@
                 std::unique_ptr<RecordFormat> format);
 
     void tick() override;
-    void onRangeUpdate(const RangeUpdate &news, const std::string &from) override;
+    void onRangeUpdate(const RangeUpdate &update, const std::string &from) override;
     std::vector<RangePosition> positions() const override;
-    void onPositions(const std::vector<RangePosition> &marks, const std::string &from) override;
+    void onPositions(const std::vector<RangePosition> &positions, const std::string &from) override;
     std::vector<RangeReply>
     updatesSince(const std::vector<RangeRequest> &questions) const override;
 
@@ -79,7 +79,7 @@
         PrefixFollower follower;
         bool wasReachable = true;
         FollowRole role = FollowRole::alone;
-        bool asking = false; // another instance, for what it missed
+        bool peerRequestPending = false; // another instance, for what it missed
     };
 
     void chooseRoles();
@@ -87,14 +87,14 @@
 
     void advance(Range &range);
     void onPage(Range &range, StorePage page);
-    void onPosition(Range &range, const RangePosition &mark, const std::string &from);
+    void onPosition(Range &range, const RangePosition &position, const std::string &from);
     void requestFromPeer(Range &range, const std::string &from);
     // True if it changed anything.
-    bool takeNews(Range &range, const RangeUpdate &news, TimePoint at);
-    void takeReply(Range &range, const RangeReply &reply);
-    void noteReach(Range &range);
-    void noteListState();
-    void noteConfigState();
+    bool applyUpdate(Range &range, const RangeUpdate &update, TimePoint at);
+    void applyReply(Range &range, const RangeReply &reply);
+    void logReachability(Range &range);
+    void updateListState();
+    void updateConfigState();
     void apply(const StoreItem &item, std::string_view source);
     void applyServer(const StoreItem &item, ListedServer server, std::string_view source);
     void remove(const StoreItem &item, std::string_view source);
