--- a/src/entry/chat-pages.cc
+++ b/src/entry/chat-pages.cc
@@ -80,15 +80,16 @@
     for (const Member &member : list.instances)
         instances.push_back(
             {{"name", member.name}, {"region", member.region}, {"address", member.callerAddress}});
-    int wanted = 0;
-    (void)absl::SimpleAtoi(queryValue(request.query, "keys").value_or("0"), &wanted);
+    int requestedKeys = 0;
+    (void)absl::SimpleAtoi(queryValue(request.query, "keys").value_or("0"), &requestedKeys);
     nlohmann::json keys = nlohmann::json::array();
-    // A booking that uses one of our keys passes through here, so only a region that may hold the
-    // customer's data hands them out.
-    const bool here
+    // Bookings with a key that this instance issued pass through it, so keys are issued only in
+    // regions that may hold the customer's data.
+    const bool mayIssueKeys
         = std::find(allowed.begin(), allowed.end(), m_state.settings.region) != allowed.end();
     const std::lock_guard lock(m_state.keysMutex);
-    for (int i = 0; here && !m_state.stopping && i < std::min(wanted, maxKeysPerRequest); ++i) {
+    for (int i = 0;
+         mayIssueKeys && !m_state.stopping && i < std::min(requestedKeys, maxKeysPerRequest); ++i) {
         if (auto key
             = m_state.issuedKeys.issue(customer->name, m_state.clock.now(), m_state.random))
             keys.push_back(*std::move(key));
--- a/src/entry/chat-pages.h
+++ b/src/entry/chat-pages.h
@@ -1,4 +1,5 @@
-// The pages of the product's own interface: health, readiness, the list of instances, operators.
+// The pages of the chat interface: health, readiness, the list of instances and, on the peers'
+// port, the operators' pages.
 #pragma once
 
 #include "dispatch.h"
@@ -22,7 +23,7 @@
 
     EntryState &m_state;
     DispatchServices m_services;
-    bool m_forPeers; // operators use the peers' port
+    bool m_forPeers; // true on the peers' port, which operators use
 };
 
 } // namespace ibisnotch
--- a/src/entry/chat-protocol.h
+++ b/src/entry/chat-protocol.h
@@ -1,4 +1,4 @@
-// The product's own interface: OpenAI-style chat completions and plain services.
+// The chat interface: OpenAI-style chat completions and plain services.
 #pragma once
 
 #include <memory>
--- a/src/entry/control-loads.cc
+++ b/src/entry/control-loads.cc
@@ -1,4 +1,5 @@
-// Loads and silence of backend servers: asked for, heard of, and told to other instances.
+// The part of the control loop that polls and checks backend servers and exchanges their loads,
+// silence and cold states, and the use of customers, with other instances.
 #include <map>
 
 #include "control.h"
@@ -12,16 +13,16 @@
 namespace {
 
 constexpr std::string_view reporterTask = "reporter";
-constexpr std::size_t pollersPerServer = 2; // one may be stopped
-// Health checks are counted by the platform, and a server that is silent longer than one checker's
-// absence is tried by a request anyway.
+constexpr std::size_t pollersPerServer = 2; // one of them may be stopped
+// The platform counts health checks. If the one checker fails, a silent server is tried with a
+// request by the time the next instance takes over.
 constexpr std::size_t checkersPerServer = 1;
 constexpr std::size_t maxRegionLoadsPerMessage = 16; // of about 45 bytes
-// However many servers a region has for each of its instances, one instance asks no more of them
-// than this at once; with more, each is asked less often.
+// Bounds the polls of an instance however many servers it is responsible for; with more servers,
+// each is polled less often.
 constexpr std::size_t maxPollsPerPeriod = 2;
 
-// The first instance of each region by rendezvous, of those given.
+// Returns the instance of each region that ranks first for the reporter's task.
 std::map<std::string, Member> reportersByRegion(const std::vector<Member> &members)
 {
     const std::uint64_t task = hash64(reporterTask);
@@ -53,8 +54,8 @@
     const TimePoint now = m_state.clock.now();
     const FleetConfig &config = *table.config;
     const auto add = [&](const std::string &loadName, std::vector<Candidate> candidates) {
-        // With cold servers counted in, the other regions sent their prompts to a region whose
-        // servers had all just come back, and 324 requests were refused in two seconds.
+        // Cold servers are left out: when they were counted, other regions sent prompts to a region
+        // whose servers had all just restarted, and 324 requests were refused in two seconds.
         removeCold(candidates, now);
         addEngineEstimates(candidates, m_state.promptLengths.mean(loadName), now);
         if (loads.size() < maxRegionLoadsPerMessage)
@@ -69,9 +70,9 @@
     return loads;
 }
 
-// Each instance hands the loads that came with its answers to the region's reporter, which tells
-// all of them to all. By probes alone an instance of 27 heard of an engine after 0.6 s in the
-// median, but of one that it seldom uses after 9 s.
+// Sends the loads that came with responses to the region's reporter, which sends all of them to all
+// instances. With probes alone, each of 27 instances received an engine's load after 0.6 s in the
+// median, but after 9 s for an engine that it seldom uses.
 void Control::sendServerLoads()
 {
     const TimePoint now = m_state.clock.now();
@@ -88,8 +89,9 @@
         m_link.sendGossip(own->second.gossipAddress, message);
 }
 
-// Each instance hands what its customers use to the region's reporter, which tells the sums to its
-// counterparts and the sums of all regions to its own.
+// Sends the use of this instance's customers to the region's reporter. The reporter sends the
+// region's sums to the reporters of the other regions, and the sums of all regions to the instances
+// of its own.
 void Control::sendCustomerUse()
 {
     if (!m_state.usageCaps.hasCaps())
@@ -116,9 +118,9 @@
     sendToRegion(message);
 }
 
-// The first instance of each region, by rendezvous, tells its counterparts how busy its region is,
-// and tells its own region what it heard. Probes alone bring that news every four seconds, while a
-// peak fills a region in one.
+// On the region's reporter: sends the region's loads to the reporters of the other regions, and the
+// loads of all regions to the instances of its own. Probes alone would bring them every four
+// seconds, while a traffic peak can fill a region within one second.
 void Control::sendRegionLoads()
 {
     const auto table = m_state.routing.read();
@@ -234,7 +236,7 @@
             {{"server", server},
              {"reachable", report.reachable ? "yes" : "no"},
              {"leaving", report.leaving ? "yes" : "no"}});
-    // The rest of the region hears of it at once rather than when the next probe comes by.
+    // Sent at once, so that the rest of the region need not wait for the next probe.
     publishAndGossip();
 }
 
--- a/src/entry/control.cc
+++ b/src/entry/control.cc
@@ -15,8 +15,8 @@
 
 constexpr Duration tickPeriod = std::chrono::milliseconds(100);
 constexpr Duration regionReportPeriod = std::chrono::milliseconds(500);
-// At 48 changed servers a report an instance takes in 3.6 KB a second; a peak fills a region in
-// one.
+// With 48 changed servers in each report, an instance receives 3.6 KB per second. A traffic peak
+// can fill a region within one second.
 constexpr Duration loadReportPeriod = std::chrono::milliseconds(250);
 constexpr Duration useReportPeriod = std::chrono::milliseconds(250);
 constexpr Duration pollPeriod = std::chrono::milliseconds(500);
@@ -24,7 +24,8 @@
 constexpr Duration maxPublishInterval = std::chrono::milliseconds(500);
 constexpr std::size_t maxMarksPerMessage = 8;
 constexpr int gossipFanout = 4;
-// Long enough not to be lost with the first, short enough to come while it matters.
+// Long enough that one burst of packet loss does not drop both datagrams, short enough for the
+// second to be of use.
 constexpr Duration resendDelay = std::chrono::milliseconds(20);
 
 Member selfMember(const EntryState &state)
@@ -89,8 +90,8 @@
     m_link.post([this] {
         m_membership.leave();
         publishMembers();
-        // Everyone hears it directly: a caller must not be pointed here any more, and at this
-        // moment there is no time to wait for news to travel by itself.
+        // Sent to every member directly: callers must no longer be directed to this instance, and
+        // gossip would take too long to reach all members.
         sendProbes(
             m_membership.broadcast(static_cast<int>(m_membership.aliveMembers().size()),
                                     m_state.random));
@@ -100,8 +101,8 @@
 void Control::broadcastCrashMarks(std::vector<CrashMark> marks)
 {
     m_link.post([this, marks = std::move(marks)] {
-        // A caller who re-sends is likely to reach the same region next, so all of it hears first
-        // hand; the other regions hear through a few of their members.
+        // A caller that sends the request again is likely to reach this region, so all its members
+        // receive the marks directly. In the other regions they spread from a few members.
         int others = gossipFanout;
         for (const Member &member : m_membership.aliveMembers()) {
             const bool local = member.region == m_state.settings.region;
@@ -128,7 +129,7 @@
     const TimePoint now = m_state.clock.now();
     sendProbes(m_membership.tick(now, m_state.random));
     if (m_membership.consumeStall()) {
-        logLine(LogPart::control, LogLevel::warn, "Woke from a freeze.");
+        logLine(LogPart::control, LogLevel::warn, "Event loop resumed after a stall.");
         m_pullInProgress = false;
     }
     publishMembers();
@@ -140,7 +141,7 @@
     m_source->tick();
     checkSilentServers();
     checkColdServers();
-    // What a customer near its cap takes must be known sooner than its burst is used up.
+    // The use of a customer that is close to its cap must be reported before its burst is used up.
     m_state.usageCaps.tick(now);
     if (now >= m_nextUseReport || m_state.usageCaps.isNearAnyCap(now)) {
         m_nextUseReport = now + useReportPeriod;
@@ -190,7 +191,8 @@
     return message;
 }
 
-// Without a probe's news and loads, for what has to arrive at once.
+// Returns a message without member updates and loads, for content that is sent at once rather than
+// with the next probe.
 GossipMessage Control::makeEmptyMessage()
 {
     GossipMessage message;
@@ -239,15 +241,16 @@
     m_routingDirty = true;
 }
 
-// The platform bounds retries of all instances together, beside a share of the requests. What each
-// may save up is its part of that; a fifth is left for instances that it does not know yet. Members
-// that died keep their part while they are remembered, since they may only be cut off.
+// The platform limits the retries of all instances together to a share of the requests plus a fixed
+// slack. Each instance may save up an equal part of that slack; a fifth is kept back for instances
+// that it does not know yet. A dead member keeps its part as long as it is in the list, since it
+// may only be unreachable from here.
 void Control::updateRetryBurst(std::size_t members)
 {
     if (m_state.settings.interfaces != Interfaces::platform)
         return;
-    constexpr double usedPart = 0.8;
-    m_state.retryBudget.setBurst(usedPart * m_state.settings.retrySlack
+    constexpr double distributedShare = 0.8;
+    m_state.retryBudget.setBurst(distributedShare * m_state.settings.retrySlack
                                  / static_cast<double>(std::max<std::size_t>(members, 1)));
 }
 
@@ -287,9 +290,8 @@
                              static_cast<double>(m_state.gate.version()));
 }
 
-// Whether this instance is among the first of its region for a task, by rendezvous hashing over the
-// members that are alive: tasks are spread without anyone handing them out, and pass on by
-// themselves when an instance goes.
+// Ranks the usable members of the region by rendezvous hashing. So tasks are distributed without a
+// coordinator, and the next in rank takes over when an instance leaves or fails.
 bool Control::isResponsibleFor(std::string_view key, std::size_t count) const
 {
     const std::uint64_t hash = hash64(key);
@@ -322,7 +324,8 @@
     sendToRegion(message);
 }
 
-// A datagram may be lost, and who misses one of these sends to a server that bears no more.
+// Sends the message twice because a datagram may be lost, and an instance that misses this message
+// would send requests to a backend server that must not receive them.
 void Control::sendTwiceToRegion(GossipMessage message)
 {
     sendToRegion(message);
@@ -357,7 +360,8 @@
             m_state.quarantine.onMark(mark, now);
     }
     m_source->onPositions(message.rangePositions, from);
-    // A version that this instance cannot take would otherwise be pulled again with every probe.
+    // Without the rejected version, a configuration that is invalid here would be pulled again
+    // with every probe.
     if (message.configVersion > std::max(m_state.gate.version(), m_rejectedVersion))
         pullConfigFrom(from);
 }
@@ -413,12 +417,12 @@
     if (result == ConfigApplyResult::invalid) {
         m_rejectedVersion = std::max(m_rejectedVersion, document.version);
         logLine(
-            LogPart::config, LogLevel::error, "Version turned down.",
+            LogPart::config, LogLevel::error, "Configuration version rejected.",
             {{"version", std::to_string(document.version)}, {"reason", m_state.gate.lastError()}});
     }
     if (result != ConfigApplyResult::accepted)
         return;
-    logLine(LogPart::config, LogLevel::info, "Version in force.",
+    logLine(LogPart::config, LogLevel::info, "Configuration version in force.",
             {{"version", std::to_string(document.version)}, {"source", source}});
     m_state.servers.setConfig(m_state.gate.config());
     m_state.usageCaps.setCaps(m_state.gate.config()->customers);
@@ -429,7 +433,8 @@
 
 void Control::announceConfig()
 {
-    // Without loads: a change a few seconds apart would otherwise cost more than it carries.
+    // Sent without loads, which would make up most of the traffic when the configuration changes
+    // every few seconds.
     for (OutgoingProbe &item : m_membership.broadcast(gossipFanout, m_state.random)) {
         GossipMessage message;
         message.probe = std::move(item.probe);
--- a/src/entry/control.h
+++ b/src/entry/control.h
@@ -1,4 +1,5 @@
 // The control loop of an entry instance: membership, configuration, load reports and crash marks.
+// Functions are called on the loop's thread unless their comment says otherwise.
 #pragma once
 
 #include <functional>
@@ -23,38 +24,46 @@
     Control(EntryState &state, const Protocol &protocol, HttpClient &client);
     ~Control() override;
 
-    // Before start().
+    // Must be called before start().
     void setStateSource(std::unique_ptr<StateSource> source);
     void start();
     void stop();
 
-    // Other instances to join through; from any thread.
+    // Replaces the addresses of the instances through which this one joins. May be called from any
+    // thread.
     void setSeeds(std::vector<std::string> seeds);
 
-    // For sources, on the loop.
+    // Run a task on the loop, at once or after a delay. May be called from any thread.
     void post(std::function<void()> task) { m_link.post(std::move(task)); }
     void postAfter(Duration delay, std::function<void()> task)
     {
         m_link.postAfter(delay, std::move(task));
     }
+    // Puts the document in force and announces it, if it is newer than the configuration in force
+    // and valid here. `source` names where it came from in the log.
     void offerConfig(const ConfigDocument &document, const std::string &source);
-    // Whether this instance is among the first of its region for a task.
+    // Whether this instance is one of the `count` instances of its region that perform a task.
     bool isResponsibleFor(std::string_view key, std::size_t count) const;
-    // Instances of the region that are alive, this one included.
+    // Returns the number of usable instances in this region, including this one.
     std::size_t regionSize() const;
+    // Sends the update to all other instances of the region; twice if it contains changes.
     void broadcastRangeUpdate(RangeUpdate update);
-    // Asks another instance for what is newer of these ranges; null if it does not answer.
+    // Requests the changes of ranges from another instance. `done` is called with nothing if that
+    // instance does not answer.
     void requestRanges(const std::string &gossipAddress, std::vector<RangeRequest> questions,
                        std::function<void(std::optional<PeerReply>)> done);
-    // Publishes the routing table and tells a few members at once.
+    // Publishes the routing table and gossips with a few random members without waiting for the
+    // next probe.
     void publishAndGossip();
     void publishRoutingTable();
 
-    // Tells peers at once that this instance is leaving.
+    // Announces to all members that this instance is leaving. May be called from any thread.
     void leave();
-    // Shares marks with all members of the region and some others, at once.
+    // Sends crash marks to all members of this region and to a few of the others. May be called
+    // from any thread.
     void broadcastCrashMarks(std::vector<CrashMark> marks);
-    // Publishes a new routing table soon.
+    // Publishes a new routing table as soon as the minimum interval allows. May be called from any
+    // thread.
     void scheduleRoutingUpdate();
 
     TrafficCount traffic() const { return m_link.traffic(); }
@@ -101,7 +110,7 @@
     std::size_t m_loadCursor = 0;
     std::size_t m_pollCursor = 0;
     bool m_pullInProgress = false;
-    std::uint64_t m_rejectedVersion = 0; // the latest version that was not valid here
+    std::uint64_t m_rejectedVersion = 0; // the newest configuration version found invalid here
     bool m_routingDirty = true;
     TimePoint m_lastPublishAt{};
     TimePoint m_nextPoll{};
@@ -109,7 +118,7 @@
     TimePoint m_nextLoadReport{};
     TimePoint m_nextUseReport{};
     std::unique_ptr<StateSource> m_source;
-    PeerLink m_link; // last: its thread uses the others
+    PeerLink m_link; // must be the last member: its thread uses the others
 };
 
 } // namespace ibisnotch
--- a/src/entry/document-source.cc
+++ b/src/entry/document-source.cc
@@ -16,7 +16,7 @@
 constexpr Duration claimSweepPeriod = std::chrono::minutes(30);
 constexpr std::size_t watchersPerRegion = 2;
 
-// {"leaving": [{"name": "bp-m1", "sinceMs": 1760000000000}]}
+// Parses {"leaving": [{"name": "bp-m1", "sinceMs": 1760000000000}]}.
 std::vector<LeavingNotice> parseNotices(const nlohmann::json &list)
 {
     std::vector<LeavingNotice> notices;
@@ -74,13 +74,15 @@
         if (document.ok())
             m_control.offerConfig(*document, "store");
         else
-            logLine(LogPart::config, LogLevel::error, "Document not readable.");
+            logLine(LogPart::config, LogLevel::error,
+                    "Configuration document could not be parsed.");
     }
     m_control.postAfter(succeeded ? Duration(0) : retryDelay, [this] { m_watchingConfig = false; });
 }
 
-// Removes the claim pages of hours whose keys nobody accepts any more. Each hour is swept
-// several times, so that a store outage or a change of the sweeper leaves nothing behind.
+// Removes the claim pages of hours whose booking keys are no longer accepted by any instance. Each
+// hour is swept several times, so that no page is left behind when the store is unavailable or
+// another instance becomes responsible.
 void DocumentSource::removeExpiredClaimPages()
 {
     const auto config = m_state.gate.config();
--- a/src/entry/document-source.h
+++ b/src/entry/document-source.h
@@ -1,5 +1,5 @@
-// The product's own sources: one document with base file and overlays, and a list of leaving
-// servers, each under a key of the store.
+// Reads the configuration and the list of leaving backend servers from two keys of the store. The
+// configuration is one document that contains the base file and the overlays.
 #pragma once
 
 #include <cstdint>
--- a/src/entry/instance.cc
+++ b/src/entry/instance.cc
@@ -9,11 +9,12 @@
 namespace {
 
 constexpr auto drainPollInterval = std::chrono::milliseconds(20);
-// Callers that hold our address for a moment longer are refused with a list of the others.
+// Callers that still use this instance's address after it announced its stop are refused for this
+// long with a list of the other instances.
 constexpr Duration minNoticeTime = std::chrono::milliseconds(500);
-// Callers that were told of this instance before it began to stop come until their list is over.
-// Some keep it longer and find nobody; they then ask elsewhere, and an instance that is back sooner
-// leaves its region short of one for less time.
+// Callers whose list of instances names this one connect until the list expires. The few that keep
+// an expired list find the port closed and use another instance; waiting longer for them would
+// leave the region without this instance for longer.
 constexpr Duration extraServeTime = std::chrono::milliseconds(300);
 
 } // namespace
@@ -58,14 +59,14 @@
         m_pageServers.push_back(std::make_unique<PageServer>(std::move(port.pages)));
         listen(port.address, *m_pageServers.back());
     }
-    // The callers' port last: whoever finds it open finds the rest open too.
+    // The callers' port is opened last, so that the other ports are open once it accepts.
     listen(settings.callerAddress, *m_callerGateway);
 }
 
 Instance::~Instance()
 {
-    // First everything that runs, then whatever holds on to an answer under way, and the loop whose
-    // connections those answers refer to last.
+    // First the threads are stopped, then the clients, which refer to responses in progress, are
+    // destroyed. The loop with the connections of those responses is destroyed last.
     m_loop->stop();
     m_control->stop();
     m_clients.clear();
@@ -86,18 +87,18 @@
 
 void Instance::reload(const ProcessSettings &settings)
 {
-    ProcessSettings taken = m_state.settings;
-    taken.seeds = settings.seeds;
-    taken.logLevel = settings.logLevel;
+    ProcessSettings applied = m_state.settings;
+    applied.seeds = settings.seeds;
+    applied.logLevel = settings.logLevel;
     setLogLevel(settings.logLevel);
     m_control->setSeeds(settings.seeds);
     logLine(LogPart::entry, LogLevel::info, "Reloaded.",
             {{"seeds", std::to_string(settings.seeds.size())},
              {"logLevel", settings.logLevel},
-             {"waitsForRestart", taken == settings ? "nothing" : "other settings"}});
+             {"waitsForRestart", applied == settings ? "nothing" : "other settings"}});
 }
 
-bool Instance::busy()
+bool Instance::isBusy()
 {
     return m_state.inFlight > 0 || (m_claimService && m_claimService->hasPendingOutcomes());
 }
@@ -113,16 +114,18 @@
     m_control->leave();
     HttpServer &callers = *m_servers.back();
     callers.closeAfterResponses();
-    // Whoever still comes is told at once to go elsewhere, rather than find nobody.
-    const Duration serveOn = m_state.settings.drainAcceptTime;
-    std::this_thread::sleep_for(serveOn.count() > 0 ? serveOn + extraServeTime : minNoticeTime);
+    // Callers that still connect are served or directed to another instance at once, rather than
+    // finding the port closed.
+    const Duration acceptTime = m_state.settings.drainAcceptTime;
+    std::this_thread::sleep_for(acceptTime.count() > 0 ? acceptTime + extraServeTime
+                                                       : minNoticeTime);
     callers.stopAccepting();
-    while (busy()) {
+    while (isBusy()) {
         if (m_state.clock.now() >= until)
             return false;
         std::this_thread::sleep_for(drainPollInterval);
     }
-    // The last bytes of the last answers are still on their way out of this process.
+    // The last bytes of the last responses may still be in this process.
     std::this_thread::sleep_for(drainPollInterval * 5);
     return true;
 }
--- a/src/entry/instance.h
+++ b/src/entry/instance.h
@@ -1,4 +1,4 @@
-// All parts of an entry instance, in the order in which they are built.
+// An entry instance with all its parts, declared in the order in which they are built.
 #pragma once
 
 #include <memory>
@@ -17,23 +17,25 @@
 class Instance
 {
 public:
-    // Throws std::exception if an address cannot be bound.
+    // Starts the instance. Throws std::exception if an address cannot be bound.
     Instance(const ProcessSettings &settings, std::unique_ptr<InterfaceFactory> interfaces);
     ~Instance();
     Instance(const Instance &) = delete;
     Instance &operator=(const Instance &) = delete;
 
-    // Takes what may change while the instance runs; the rest waits for the next start.
+    // Applies the settings that may change while the instance runs. Other changes take effect at
+    // the next start.
     void reload(const ProcessSettings &settings);
 
-    // Finishes what is in flight. Returns false if the drain time ran out first.
+    // Announces the stop and waits for the requests in flight. Returns false if the drain time
+    // expired first.
     bool drain();
 
 private:
     class PageServer;
 
     void listen(const Address &address, RequestHandler &handler);
-    bool busy();
+    bool isBusy();
 
     std::unique_ptr<InterfaceFactory> m_interfaces;
     EntryState m_state;
--- a/src/entry/operators.cc
+++ b/src/entry/operators.cc
@@ -119,10 +119,11 @@
 
 json keyFingerprints(const Customer &customer)
 {
-    constexpr std::size_t shown = 12; // hex digits; enough to tell keys apart, too few to try them
+    // Enough hex digits to tell keys apart, too few to test a guessed key against them.
+    constexpr std::size_t shownDigits = 12;
     json list = json::array();
     for (const std::string &hash : customer.keyHashes)
-        list.push_back(hash.substr(0, shown));
+        list.push_back(hash.substr(0, shownDigits));
     return list;
 }
 
--- a/src/entry/operators.h
+++ b/src/entry/operators.h
@@ -1,4 +1,4 @@
-// What operators ask of one instance, on the peers' port.
+// The operators' pages of one instance, served on the peers' port.
 #pragma once
 
 #include <optional>
@@ -8,8 +8,8 @@
 
 namespace ibisnotch {
 
-// /metrics, /admin/status, /admin/explain?id=ID, /admin/burn, /admin/drain?server=NAME,
-// /admin/undrain?server=NAME. Nothing if the path is none of these.
+// Handles /metrics, /admin/status, /admin/explain?id=ID, /admin/customers, /admin/burn,
+// /admin/drain?server=NAME and /admin/undrain?server=NAME. Returns nothing for any other path.
 std::optional<HttpResponse> handleOperatorRequest(DispatchServices &services,
                                                   const HttpRequest &request);
 
--- a/src/entry/range-source.cc
+++ b/src/entry/range-source.cc
@@ -8,13 +8,14 @@
 
 namespace {
 
-constexpr std::size_t maxInstancesAllWatching = 5; // instances of a region
-// One may be cut off from the store; news then still comes from the other.
+// Up to this number of instances in a region, each of them watches the store.
+constexpr std::size_t maxInstancesAllWatching = 5;
+// One of them may be cut off from the store; updates then still arrive from the other.
 constexpr std::size_t relaysPerRegion = 2;
-// The store tells all instances of a region within milliseconds of each other, and a little more
+// The store notifies all watchers in a region within milliseconds of each other, and a little later
 // where it gathers changes.
 constexpr Duration peerRequestDelay = std::chrono::milliseconds(250);
-// Where a change was heard of, in log lines.
+// Values of the log field "source": where a change was received from.
 constexpr std::string_view sourceStore = "store";
 constexpr std::string_view sourcePeer = "peer";
 
@@ -68,9 +69,9 @@
     }
 }
 
-// Each watch is a call that the platform counts, and with one of each instance their number grows
-// with the fleet: 80 instances made 6,600 calls in 58 s. So in larger regions two instances watch
-// and tell the others, who ask the store themselves once they hear nothing.
+// The platform counts each watch as a call, and with one watch in each instance the calls grow with
+// the fleet: 80 instances made 6,600 calls in 58 s. So in larger regions two instances watch and
+// send updates to the others, which query the store themselves when no updates arrive.
 void RangeSource::chooseRoles()
 {
     const bool isSmallRegion = m_control.regionSize() <= maxInstancesAllWatching;
@@ -130,9 +131,10 @@
     }
 }
 
-// The store may turn single instances away, or its answers may be lost, for as long as it likes.
-// Without its neighbours' knowledge an instance would go on sending to servers that have been
-// evacuated, are leaving or bear little since they turned cold.
+// The store may reject the calls of single instances, or its responses may be lost, for any length
+// of time. Without the changes that its peers have received, an instance would keep sending to
+// backend servers that have been evacuated, are leaving, or sustain little load because they are
+// cold.
 void RangeSource::onPosition(Range &range, const RangePosition &position, const std::string &from)
 {
     const TimePoint now = m_state.clock.now();
@@ -140,7 +142,7 @@
         return;
     if (!range.follower.isStoreReachable())
         return requestFromPeer(range, from);
-    // The store's own answer is likely to be on its way.
+    // The store's own response is likely to arrive first.
     m_control.postAfter(peerRequestDelay, [this, &range, from, missed = position.lastChange] {
         if (range.follower.asOf() < missed)
             requestFromPeer(range, from);
@@ -154,7 +156,7 @@
     range.peerRequestPending = true;
     const bool watching = range.follower.isWatching();
     const std::uint64_t known = watching ? range.follower.asOf() : 0;
-    logLine(LogPart::store, LogLevel::info, "Changes asked of a peer.",
+    logLine(LogPart::store, LogLevel::info, "Requested missed changes from a peer.",
             {{"range", range.prefix},
              {"peer", from},
              {"known", std::to_string(known)},
@@ -175,7 +177,8 @@
     const TimePoint at = m_state.clock.now() - std::chrono::milliseconds(reply.ageMs);
     const RangeUpdate &update = reply.update;
     const bool changed = applyUpdate(range, update, at);
-    // The store may answer nobody in the region, so that this is the first to hear it.
+    // If the store is unreachable for the whole region, this may be the first instance in it to
+    // receive the change.
     if (changed && update.base > 0)
         m_control.broadcastRangeUpdate(makeRangeUpdate(update.prefix, update.base, update.asOf, update.items));
 }
@@ -219,7 +222,8 @@
     const bool watched = range.follower.isWatchPending();
     for (const StoreItem &item : range.follower.onResponse(page, m_state.clock.now()))
         apply(item, sourceStore);
-    // Where all watch, each still tells what changed: the store may not answer the others.
+    // Where all instances watch, each still broadcasts changes: the store may be unreachable for
+    // the others.
     const bool broadcasts = range.role == FollowRole::relay
         || (range.role == FollowRole::alone && !page.items.empty());
     if (broadcasts) {
@@ -239,7 +243,7 @@
         return;
     range.wasReachable = reachable;
     logLine(LogPart::store, reachable ? LogLevel::info : LogLevel::warn,
-            reachable ? "Store back." : "Store lost.", {{"range", range.prefix}});
+            reachable ? "Store reachable again." : "Store unreachable.", {{"range", range.prefix}});
 }
 
 void RangeSource::apply(const StoreItem &item, std::string_view source)
@@ -260,11 +264,11 @@
         return;
     }
     if (const auto *bad = std::get_if<InvalidRecord>(&record)) {
-        logLine(LogPart::store, LogLevel::warn, "Record not readable.",
+        logLine(LogPart::store, LogLevel::warn, "Record could not be parsed.",
                 {{"key", item.key},
                  {"revision", std::to_string(item.revision)},
                  {"reason", bad->reason}});
-        // Whoever wrote it, it names no server to use any more.
+        // Treated as removed: the record no longer names a backend server that may be used.
         remove(item, source);
     }
 }
--- a/src/entry/range-source.h
+++ b/src/entry/range-source.h
@@ -1,5 +1,5 @@
-// Configuration, live backend servers and evacuated data centres from ranges of the platform's
-// store.
+// Reads the configuration, the backend servers and the evacuated data centres from key ranges of
+// the platform's store.
 #pragma once
 
 #include <memory>
@@ -24,14 +24,14 @@
     bool operator==(const EvacuatedDataCentre &) const = default;
 };
 
-// A record that cannot be read, with the reason.
+// A record that cannot be parsed.
 struct InvalidRecord
 {
     std::string reason;
     bool operator==(const InvalidRecord &) const = default;
 };
 
-// A key that this version does not know.
+// A record whose key has no meaning for this version of the program.
 struct UnknownRecord
 {
     bool operator==(const UnknownRecord &) const = default;
@@ -40,21 +40,21 @@
 using Record
     = std::variant<ConfigDocument, ListedServer, EvacuatedDataCentre, InvalidRecord, UnknownRecord>;
 
-// How the platform writes its records.
+// The format of the platform's records.
 class RecordFormat
 {
 public:
     virtual ~RecordFormat() = default;
-    // Puts what may be kept and told to other instances in place of what only the store may know.
+    // Replaces secrets in the item by values that may be kept and sent to other instances.
     virtual void removeSecrets(StoreItem &) const { }
-    // The ranges to follow.
+    // Returns the prefixes of the ranges to follow.
     virtual std::vector<std::string> prefixes() const = 0;
     virtual Record read(const StoreItem &item) const = 0;
-    // The server or data centre that a key is about.
+    // Returns the backend server or data centre that the key names.
     virtual std::string subject(const std::string &key) const = 0;
-    // The range that holds the backend servers.
+    // Returns the prefix of the range with the backend servers.
     virtual std::string serverPrefix() const = 0;
-    // The range that holds the configuration.
+    // Returns the prefix of the range with the configuration.
     virtual std::string configPrefix() const = 0;
 };
 
@@ -79,7 +79,7 @@
         PrefixFollower follower;
         bool wasReachable = true;
         FollowRole role = FollowRole::alone;
-        bool peerRequestPending = false; // another instance, for what it missed
+        bool peerRequestPending = false; // a request for missed changes awaits its reply
     };
 
     void chooseRoles();
@@ -89,7 +89,7 @@
     void onPage(Range &range, StorePage page);
     void onPosition(Range &range, const RangePosition &position, const std::string &from);
     void requestFromPeer(Range &range, const std::string &from);
-    // True if it changed anything.
+    // Returns true if the update contained changes that were unknown here.
     bool applyUpdate(Range &range, const RangeUpdate &update, TimePoint at);
     void applyReply(Range &range, const RangeReply &reply);
     void logReachability(Range &range);
--- a/src/entry/state-source.h
+++ b/src/entry/state-source.h
@@ -1,4 +1,4 @@
-// Where an instance takes its configuration and its list of backend servers from.
+// The interface of the sources of an instance's configuration and list of backend servers.
 #pragma once
 
 #include <string>
@@ -8,24 +8,26 @@
 
 namespace ibisnotch {
 
-// Used on the control loop only.
+// All functions are called on the control loop.
 class StateSource
 {
 public:
     virtual ~StateSource() = default;
-    // Several times a second.
+    // Called several times a second.
     virtual void tick() = 0;
-    // What another instance of the region read of the store; `from` is its gossip address.
+    // Called with an update of a range that another instance of the region has read from the store
+    // or received. `from` is that instance's gossip address.
     virtual void onRangeUpdate(const RangeUpdate &, const std::string & /*from*/) { }
-    // How far this instance knows the ranges, and how far another one does.
+    // Returns the revisions of the ranges that this instance has applied.
     virtual std::vector<RangePosition> positions() const { return {}; }
+    // Called with the positions of another instance.
     virtual void onPositions(const std::vector<RangePosition> &, const std::string & /*from*/) { }
-    // For an instance that asks.
+    // Returns the replies to another instance's requests.
     virtual std::vector<RangeReply> updatesSince(const std::vector<RangeRequest> &) const
     {
         return {};
     }
-    // A new configuration is in force, from wherever it came.
+    // Called when a new configuration is in force, whichever source it came from.
     virtual void onConfig() { }
 };
 
--- a/src/entry/state.cc
+++ b/src/entry/state.cc
@@ -6,10 +6,11 @@
 
 namespace {
 
-// Some ten seconds of a busy instance, at about a kilobyte each; the log has those before.
+// About ten seconds of requests on a busy instance, at about 1 KB each. Older ones are in the log.
 constexpr std::size_t maxTraces = 512;
 
-// Wall time orders the incarnations of an instance that keeps nothing over a restart.
+// Uses the wall time, since an instance stores nothing across restarts and later incarnations must
+// have greater numbers.
 std::uint64_t newIncarnation()
 {
     return static_cast<std::uint64_t>(wallMilliseconds(SystemClock().wallNow()));
@@ -30,7 +31,7 @@
       usageCaps(usageLimits(settings)), quarantine(settings.name, Quarantine::Limits{}),
       issuedKeys(settings.name, incarnation, IssuedKeys::Limits{}), traces(maxTraces)
 {
-    // Requests may come before the first look at the members.
+    // Requests may arrive before the control loop publishes the members.
     members.publish(std::make_shared<const std::vector<Member>>());
 }
 
--- a/src/entry/state.h
+++ b/src/entry/state.h
@@ -1,4 +1,4 @@
-// What the parts of one entry instance share.
+// The state that the parts of one entry instance share.
 #pragma once
 
 #include <atomic>
@@ -29,7 +29,7 @@
 
 namespace ibisnotch {
 
-// Set once; the control loop and the request threads both use it.
+// Created once; used by the control loop and the request threads.
 struct EntryState
 {
     explicit EntryState(ProcessSettings from,
@@ -66,18 +66,18 @@
     BurnCounter burn;
     RecentTraces traces;
 
-    // After this nobody has said for long that the configuration in force is the newest. The end of
-    // time where no store tells.
+    // Until when the configuration in force is treated as the newest. The store or a peer extends
+    // it by confirming the revision; max() where no store does so.
     std::atomic<TimePoint> configValidUntil = TimePoint::max();
     std::atomic<bool> stopping = false;
-    std::atomic<TimePoint> acceptsRequestsUntil{}; // while stopping
+    std::atomic<TimePoint> acceptsRequestsUntil{}; // set when a stop begins
     std::atomic<int> inFlight = 0;
 };
 
-// Serves callers: a configuration is in force, and no stop is under way.
+// Returns whether the instance serves callers: a configuration is in force and it is not stopping.
 bool isReady(const EntryState &state);
 
-// A name for a request that its caller did not name.
+// Returns a new id for a request that came without one.
 std::string newRequestId(EntryState &state);
 
 } // namespace ibisnotch
