--- a/src/entry/claim-service.cc
+++ b/src/entry/claim-service.cc
@@ -12,7 +12,7 @@
 
 PageWriteResult pageWriteEnd(StoreStatus status)
 {
-    switch (end) {
+    switch (status) {
     case StoreStatus::ok:
         return PageWriteResult::applied;
     case StoreStatus::conflict:
--- a/src/entry/control-loads.cc
+++ b/src/entry/control-loads.cc
@@ -144,10 +144,9 @@
     for (const ServerView &view : m_silentServers.dueForStatusCheck()) {
         sendBuffered(m_client, makeRegionStatusQuery(m_protocol, view.server),
                      [this, view](const BufferedResponse &answer) {
-                         m_link.post(
-                             [this, view, answer] {
-                          m_silentServers.onStatusCheckEnded(view, answer);
-                      });
+                         m_link.post([this, view, answer] {
+                             m_silentServers.onStatusCheckEnded(view, answer);
+                         });
                      });
     }
     for (const ServerView &view : m_silentServers.dueForHealthCheck()) {
@@ -158,7 +157,8 @@
                      [this, check](const BufferedResponse &answer) {
                          m_link.post([this, check, answer] {
                              broadcastColdUpdate(m_coldServers.onHealthCheckEnded(check, answer));
-                             broadcastSilenceUpdates(m_silentServers.onHealthCheckEnded(check.view, answer));
+                             broadcastSilenceUpdates(
+                                 m_silentServers.onHealthCheckEnded(check.view, answer));
                          });
                      });
     }
