--- a/include/ibisnotch/peer-link.h
+++ b/include/ibisnotch/peer-link.h
@@ -38,7 +38,8 @@
     std::vector<RangePosition> rangePositions; // since protocol 3, as the next
     std::vector<ColdUpdate> coldUpdates;
     bool hasCustomerUses = false; // since protocol 4, as the next two
-    std::vector<CustomerUsage> customerUses; // of the sender; customers that are left out use nothing
+    std::vector<CustomerUsage>
+        customerUses; // of the sender; customers that are left out use nothing
     std::vector<RegionUsage> regionUses;
 
     bool operator==(const GossipMessage &) const = default;
--- a/src/entry/control.cc
+++ b/src/entry/control.cc
@@ -92,9 +92,8 @@
         publishMembers();
         // Sent to every member directly: callers must no longer be directed to this instance, and
         // gossip would take too long to reach all members.
-        sendProbes(
-            m_membership.broadcast(static_cast<int>(m_membership.aliveMembers().size()),
-                                    m_state.random));
+        sendProbes(m_membership.broadcast(static_cast<int>(m_membership.aliveMembers().size()),
+                                          m_state.random));
     });
 }
 
--- a/src/entry/dispatch-plan.cc
+++ b/src/entry/dispatch-plan.cc
@@ -224,7 +224,8 @@
         const std::string &pool = loadName(*m_exchange);
         input.eventIntervalSeconds = load.eventIntervalSeconds;
         input.maxEventIntervalSeconds = m_state.streamStatistics.maxEventIntervalSeconds(pool, now);
-        input.lessUrgentServices = m_state.streamStatistics.lessUrgentServices(pool, input.priority, now);
+        input.lessUrgentServices
+            = m_state.streamStatistics.lessUrgentServices(pool, input.priority, now);
     }
     input.rejectionDraw = m_admissionDraw;
     return input;
--- a/src/entry/dispatch.cc
+++ b/src/entry/dispatch.cc
@@ -395,7 +395,8 @@
         const std::lock_guard lock(m_state.quarantineMutex);
         m_state.quarantine.onTrialFinished(m_exchange->fingerprint);
     }
-    if (!target.isPeer && end == AttemptOutcome::connectionLost && !m_exchange->responder->isClosed())
+    if (!target.isPeer && end == AttemptOutcome::connectionLost
+        && !m_exchange->responder->isClosed())
         onServerLost(target);
     if (end == AttemptOutcome::answered && isRejectedByRemoteRegion(target, attempt)) {
         returnToLocalRegion();
--- a/src/entry/filters.cc
+++ b/src/entry/filters.cc
@@ -255,9 +255,8 @@
         if (exchange.fromPeer || !customer.usageCap)
             return std::nullopt;
         const double amount = amountOf(exchange.prompt, *customer.usageCap);
-        const UsageDecision decision
-            = m_state.usageCaps.admit(customer, amount, m_state.random.uniform(),
-                                                         m_state.clock.now());
+        const UsageDecision decision = m_state.usageCaps.admit(
+            customer, amount, m_state.random.uniform(), m_state.clock.now());
         if (!decision.fits)
             return Refusal{ResultCode::usageCapReached, reasonText(decision, customer),
                            jitteredRetryAfter(seconds(decision.retryAfter), m_state.random)};
--- a/src/entry/range-source.cc
+++ b/src/entry/range-source.cc
@@ -65,7 +65,8 @@
         if (range->prefix != m_format->configPrefix())
             continue;
         const PrefixFollower &follower = range->follower;
-        m_state.configValidUntil = follower.lastConfirmedAt() + follower.validity(m_state.clock.now());
+        m_state.configValidUntil
+            = follower.lastConfirmedAt() + follower.validity(m_state.clock.now());
     }
 }
 
@@ -118,7 +119,7 @@
     for (const auto &range : m_ranges) {
         if (range->follower.lastChange() > 0)
             positions.push_back({range->id, range->follower.lastChange(),
-                             ageInMs(range->follower.lastConfirmedAt(), now)});
+                                 ageInMs(range->follower.lastConfirmedAt(), now)});
     }
     return positions;
 }
@@ -138,7 +139,8 @@
 void RangeSource::onPosition(Range &range, const RangePosition &position, const std::string &from)
 {
     const TimePoint now = m_state.clock.now();
-    if (range.follower.onPosition(position.lastChange, now - std::chrono::milliseconds(position.ageMs)))
+    if (range.follower.onPosition(position.lastChange,
+                                  now - std::chrono::milliseconds(position.ageMs)))
         return;
     if (!range.follower.isStoreReachable())
         return requestFromPeer(range, from);
@@ -180,7 +182,8 @@
     // If the store is unreachable for the whole region, this may be the first instance in it to
     // receive the change.
     if (changed && update.base > 0)
-        m_control.broadcastRangeUpdate(makeRangeUpdate(update.prefix, update.base, update.asOf, update.items));
+        m_control.broadcastRangeUpdate(
+            makeRangeUpdate(update.prefix, update.base, update.asOf, update.items));
 }
 
 std::vector<RangeReply> RangeSource::updatesSince(const std::vector<RangeRequest> &questions) const
--- a/src/entry/range-source.h
+++ b/src/entry/range-source.h
@@ -68,8 +68,7 @@
     void onRangeUpdate(const RangeUpdate &update, const std::string &from) override;
     std::vector<RangePosition> positions() const override;
     void onPositions(const std::vector<RangePosition> &positions, const std::string &from) override;
-    std::vector<RangeReply>
-    updatesSince(const std::vector<RangeRequest> &questions) const override;
+    std::vector<RangeReply> updatesSince(const std::vector<RangeRequest> &questions) const override;
 
 private:
     struct Range
