--- a/include/ibisnotch/peer-link.h
+++ b/include/ibisnotch/peer-link.h
@@ -1,5 +1,5 @@
-// Messages between entry instances: datagrams for news, short TCP exchanges for what is larger.
-// Both are encoded by cereal's portable binary archive.
+// Messages between entry instances: UDP datagrams for gossip, and TCP requests for content that
+// does not fit into a datagram. Both are encoded by cereal's portable binary archive.
 #pragma once
 
 #include <cstdint>
@@ -21,8 +21,8 @@
 
 namespace ibisnotch {
 
-// Raised when fields are appended. A reader ignores what follows the fields it knows, so instances
-// of neighbouring versions understand each other while a fleet is being replaced.
+// Increased when fields are appended. A reader ignores bytes after the fields that it knows, so
+// instances of different versions can communicate during a rolling update.
 constexpr std::uint16_t peerProtocolVersion = 4;
 
 struct GossipMessage
@@ -30,17 +30,20 @@
     std::uint16_t protocol = peerProtocolVersion;
     Probe probe;
     std::uint64_t configVersion = 0;
-    std::vector<CompactLoad> loads; // of the sender's region only
+    std::vector<CompactLoad> loads; // of backend servers in the sender's region
     std::vector<RegionLoad> regionLoads;
     std::vector<CrashMark> crashMarks;
-    std::vector<SilenceUpdate> silenceUpdates; // since protocol 2, as the next
+    // Since protocol 2.
+    std::vector<SilenceUpdate> silenceUpdates;
     std::vector<RangeUpdate> rangeUpdates;
-    std::vector<RangePosition> rangePositions; // since protocol 3, as the next
+    // Since protocol 3.
+    std::vector<RangePosition> rangePositions;
     std::vector<ColdUpdate> coldUpdates;
-    bool hasCustomerUses = false; // since protocol 4, as the next two
-    std::vector<CustomerUsage>
-        customerUses; // of the sender; customers that are left out use nothing
-    std::vector<RegionUsage> regionUses;
+    // Since protocol 4. If hasCustomerUsage is true, customerUsage is the whole usage of the
+    // sender; customers that it does not list use nothing.
+    bool hasCustomerUsage = false;
+    std::vector<CustomerUsage> customerUsage;
+    std::vector<RegionUsage> regionUsage;
 
     bool operator==(const GossipMessage &) const = default;
 };
@@ -48,14 +51,14 @@
 std::string encodeGossip(const GossipMessage &message);
 std::optional<GossipMessage> decodeGossip(const std::string &bytes);
 
-// The form that messages travel in: the body's XXH3 hash, low byte first, then the body.
+// Returns a message as it is sent: the XXH3 hash of the body, low byte first, then the body.
 std::string withChecksum(const std::string &body);
 
 struct PeerRequest
 {
     std::uint16_t protocol = peerProtocolVersion;
     std::uint64_t knownVersion = 0;
-    bool wantMembers = false;
+    bool wantsMembers = false;
     std::vector<RangeRequest> rangeRequests; // since protocol 3
     bool operator==(const PeerRequest &) const = default;
 };
@@ -63,7 +66,7 @@
 struct PeerReply
 {
     std::uint16_t protocol = peerProtocolVersion;
-    ConfigDelta delta; // toVersion 0: nothing newer
+    ConfigDelta delta; // toVersion is 0 if the sender has no newer configuration
     std::vector<Member> members;
     std::vector<RangeReply> rangeReplies; // since protocol 3
     bool operator==(const PeerReply &) const = default;
@@ -76,7 +79,7 @@
     bool operator==(const TrafficCount &) const = default;
 };
 
-// Called on the link's loop.
+// Handles messages of other instances. Called on the link's thread.
 class PeerHandler
 {
 public:
@@ -85,7 +88,8 @@
     virtual PeerReply onRequest(const PeerRequest &request) = 0;
 };
 
-// One thread, which also serves as the control loop of the instance.
+// Sends and receives messages on a thread of its own, which also serves as the instance's control
+// loop.
 class PeerLink
 {
 public:
@@ -95,23 +99,23 @@
     PeerLink(const PeerLink &) = delete;
     PeerLink &operator=(const PeerLink &) = delete;
 
-    // From now on messages are taken in; those that came before wait in the sockets.
+    // Begins to receive messages. Messages that arrived before wait in the sockets' buffers.
     void start();
 
-    // From the loop's thread only.
+    // May be called on the link's thread only. `done` is called with nothing if the request fails.
     void sendGossip(const std::string &address, const GossipMessage &message);
     void sendRequest(const std::string &address, const PeerRequest &request,
                      std::function<void(std::optional<PeerReply>)> done);
 
-    // From any thread.
+    // Run a task on the link's thread. May be called from any thread.
     void post(std::function<void()> task);
     void postAfter(Duration delay, std::function<void()> task);
 
     TrafficCount traffic() const;
-    // Processor time of the loop's thread so far.
+    // Returns the processor time that the link's thread has used.
     Duration processorTime() const;
 
-    // Ends the loop; no handler runs after this returns.
+    // Stops the thread; no handler runs after this returns.
     void stop();
 
 private:
--- a/src/entry/control-loads.cc
+++ b/src/entry/control-loads.cc
@@ -92,7 +92,7 @@
 // Sends the use of this instance's customers to the region's reporter. The reporter sends the
 // region's sums to the reporters of the other regions, and the sums of all regions to the instances
 // of its own.
-void Control::sendCustomerUse()
+void Control::sendCustomerUsage()
 {
     if (!m_state.usageCaps.hasCaps())
         return;
@@ -103,18 +103,18 @@
         const auto own = reporters.find(m_state.settings.region);
         if (own == reporters.end())
             return;
-        message.hasCustomerUses = true;
-        message.customerUses = m_state.usageCaps.localUsage(now);
+        message.hasCustomerUsage = true;
+        message.customerUsage = m_state.usageCaps.localUsage(now);
         return m_link.sendGossip(own->second.gossipAddress, message);
     }
     const RegionUsage sum = m_state.usageCaps.aggregateRegion(now);
     m_state.usageCaps.onRegionUsage(sum, now);
-    message.regionUses = {sum};
+    message.regionUsage = {sum};
     for (const auto &[region, reporter] : reporters) {
         if (region != m_state.settings.region)
             m_link.sendGossip(reporter.gossipAddress, message);
     }
-    message.regionUses = m_state.usageCaps.regionUsages(now);
+    message.regionUsage = m_state.usageCaps.regionUsages(now);
     sendToRegion(message);
 }
 
--- a/src/entry/control.cc
+++ b/src/entry/control.cc
@@ -18,7 +18,7 @@
 // With 48 changed servers in each report, an instance receives 3.6 KB per second. A traffic peak
 // can fill a region within one second.
 constexpr Duration loadReportPeriod = std::chrono::milliseconds(250);
-constexpr Duration useReportPeriod = std::chrono::milliseconds(250);
+constexpr Duration usageReportPeriod = std::chrono::milliseconds(250);
 constexpr Duration pollPeriod = std::chrono::milliseconds(500);
 constexpr Duration minPublishInterval = std::chrono::milliseconds(5);
 constexpr Duration maxPublishInterval = std::chrono::milliseconds(500);
@@ -142,9 +142,9 @@
     checkColdServers();
     // The use of a customer that is close to its cap must be reported before its burst is used up.
     m_state.usageCaps.tick(now);
-    if (now >= m_nextUseReport || m_state.usageCaps.isNearAnyCap(now)) {
-        m_nextUseReport = now + useReportPeriod;
-        sendCustomerUse();
+    if (now >= m_nextUsageReport || m_state.usageCaps.isNearAnyCap(now)) {
+        m_nextUsageReport = now + usageReportPeriod;
+        sendCustomerUsage();
     }
     if (now >= m_nextLoadReport) {
         m_nextLoadReport = now + loadReportPeriod;
@@ -344,14 +344,15 @@
             m_source->onRangeUpdate(update, from);
         for (const ColdUpdate &update : message.coldUpdates)
             m_coldServers.onUpdate(update);
-        if (message.hasCustomerUses)
-            m_state.usageCaps.onInstanceUsage(message.probe.sender.name, message.customerUses, now);
+        if (message.hasCustomerUsage)
+            m_state.usageCaps.onInstanceUsage(message.probe.sender.name, message.customerUsage,
+                                              now);
         if (!message.silenceUpdates.empty() || !message.coldUpdates.empty())
             publishRoutingTable();
     }
     for (const RegionLoad &load : message.regionLoads)
         m_state.regionLoads.onLoad(load, now);
-    for (const RegionUsage &use : message.regionUses)
+    for (const RegionUsage &use : message.regionUsage)
         m_state.usageCaps.onRegionUsage(use, now);
     {
         const std::lock_guard lock(m_state.quarantineMutex);
@@ -370,7 +371,7 @@
     PeerReply reply;
     if (m_state.gate.version() > request.knownVersion)
         reply.delta = m_state.gate.deltaSince(request.knownVersion);
-    if (request.wantMembers) {
+    if (request.wantsMembers) {
         reply.members = m_membership.members();
         reply.members.push_back(m_membership.self());
     }
@@ -394,7 +395,7 @@
     m_pullInProgress = true;
     PeerRequest request;
     request.knownVersion = m_state.gate.version();
-    request.wantMembers = request.knownVersion == 0;
+    request.wantsMembers = request.knownVersion == 0;
     m_link.sendRequest(gossipAddress, request, [this](const std::optional<PeerReply> &reply) {
         m_pullInProgress = false;
         if (!reply)
--- a/src/entry/control.h
+++ b/src/entry/control.h
@@ -83,7 +83,7 @@
     void sendRegionLoads();
     std::vector<RegionLoad> ownRegionLoads(const RoutingTable &table) const;
     void sendServerLoads();
-    void sendCustomerUse();
+    void sendCustomerUsage();
     void updateUsagePlace();
     void updateRetryBurst(std::size_t members);
     void updateOwnLoad();
@@ -116,7 +116,7 @@
     TimePoint m_nextPoll{};
     TimePoint m_nextRegionReport{};
     TimePoint m_nextLoadReport{};
-    TimePoint m_nextUseReport{};
+    TimePoint m_nextUsageReport{};
     std::unique_ptr<StateSource> m_source;
     PeerLink m_link; // must be the last member: its thread uses the others
 };
--- a/src/net/peer-link.cc
+++ b/src/net/peer-link.cc
@@ -34,7 +34,7 @@
 
 constexpr std::uint16_t protocolWithRangeUpdates = 2;
 constexpr std::uint16_t protocolWithRangePositions = 3;
-constexpr std::uint16_t protocolWithCustomerUses = 4;
+constexpr std::uint16_t protocolWithCustomerUsage = 4;
 
 template <typename Archive> void serializeFields(Archive &archive, GossipMessage &message)
 {
@@ -44,13 +44,13 @@
         archive(message.silenceUpdates, message.rangeUpdates);
     if (message.protocol >= protocolWithRangePositions)
         archive(message.rangePositions, message.coldUpdates);
-    if (message.protocol >= protocolWithCustomerUses)
-        archive(message.hasCustomerUses, message.customerUses, message.regionUses);
+    if (message.protocol >= protocolWithCustomerUsage)
+        archive(message.hasCustomerUsage, message.customerUsage, message.regionUsage);
 }
 
 template <typename Archive> void serializeFields(Archive &archive, PeerRequest &request)
 {
-    archive(request.protocol, request.knownVersion, request.wantMembers);
+    archive(request.protocol, request.knownVersion, request.wantsMembers);
     if (request.protocol >= protocolWithRangePositions)
         archive(request.rangeRequests);
 }
@@ -86,8 +86,8 @@
 
 template <typename Message> std::optional<Message> decode(const std::string &bytes)
 {
-    // A damaged length field would make cereal reserve gigabytes for it before it notices that the
-    // bytes are missing, so damage is found before anything is decoded.
+    // The checksum is verified before decoding: with a damaged length field, cereal would reserve
+    // gigabytes before it finds that the bytes are missing.
     if (bytes.size() < checksumBytes)
         return std::nullopt;
     const std::string body = bytes.substr(checksumBytes);
@@ -119,7 +119,8 @@
         | (std::uint32_t(head[2]) << 8) | head[3];
 }
 
-// One TCP connection of either side, with the buffers of its one frame each way.
+// The TCP connection of one request, on either side, with the buffers of the frame that is received
+// and the frame that is sent.
 struct PeerConnection
 {
     explicit PeerConnection(asio::io_context &io) : socket(io), timer(io) { }
