--- a/test/config-admin-test.cc
+++ b/test/config-admin-test.cc
@@ -44,24 +44,24 @@
 
 } // namespace
 
-TEST_CASE_METHOD(AdminFixture, "apply_answerLostAfterTheWrite_isAcceptedByReadingBack")
+TEST_CASE_METHOD(AdminFixture, "apply_responseLostAfterTheWrite_succeedsAfterReadingBack")
 {
-    StoreRead inStore{StoreStatus::ok, serializeDocument(document), 5};
-    REQUIRE_CALL(store, read(currentKey, _)).TIMES(2).LR_SIDE_EFFECT(_2(inStore));
+    StoreRead stored{StoreStatus::ok, serializeDocument(document), 5};
+    REQUIRE_CALL(store, read(currentKey, _)).TIMES(2).LR_SIDE_EFFECT(_2(stored));
     REQUIRE_CALL(store, compareAndSet(historyKey, 0, _, _)).SIDE_EFFECT(_4({StoreStatus::ok, 6}));
     REQUIRE_CALL(store, compareAndSet(currentKey, 5, _, _))
-        .LR_SIDE_EFFECT(inStore.value = _3)
-        .LR_SIDE_EFFECT(inStore.index = 7)
+        .LR_SIDE_EFFECT(stored.value = _3)
+        .LR_SIDE_EFFECT(stored.index = 7)
         .SIDE_EFFECT(_4({StoreStatus::unknown, 0}));
     const auto result = admin.apply(document, 1);
     REQUIRE(result.ok());
     CHECK(result->version == 2);
 }
 
-TEST_CASE_METHOD(AdminFixture, "apply_answerLostBeforeTheWrite_saysThatItIsUnknown")
+TEST_CASE_METHOD(AdminFixture, "apply_responseLostWithoutTheWrite_reportsUnknown")
 {
-    const StoreRead inStore{StoreStatus::ok, serializeDocument(document), 5};
-    REQUIRE_CALL(store, read(currentKey, _)).TIMES(2).LR_SIDE_EFFECT(_2(inStore));
+    const StoreRead stored{StoreStatus::ok, serializeDocument(document), 5};
+    REQUIRE_CALL(store, read(currentKey, _)).TIMES(2).LR_SIDE_EFFECT(_2(stored));
     REQUIRE_CALL(store, compareAndSet(historyKey, 0, _, _))
         .SIDE_EFFECT(_4({StoreStatus::conflict, 0}));
     REQUIRE_CALL(store, compareAndSet(currentKey, 5, _, _))
@@ -69,33 +69,33 @@
     CHECK(admin.apply(document, 1).status().code() == absl::StatusCode::kUnknown);
 }
 
-TEST_CASE_METHOD(AdminFixture, "apply_anotherOperatorFirst_isTurnedDown")
+TEST_CASE_METHOD(AdminFixture, "apply_anotherOperatorFirst_isAborted")
 {
-    const StoreRead inStore{StoreStatus::ok, serializeDocument(document), 5};
-    REQUIRE_CALL(store, read(currentKey, _)).LR_SIDE_EFFECT(_2(inStore));
+    const StoreRead stored{StoreStatus::ok, serializeDocument(document), 5};
+    REQUIRE_CALL(store, read(currentKey, _)).LR_SIDE_EFFECT(_2(stored));
     REQUIRE_CALL(store, compareAndSet(historyKey, 0, _, _)).SIDE_EFFECT(_4({StoreStatus::ok, 6}));
     REQUIRE_CALL(store, compareAndSet(currentKey, 5, _, _))
         .SIDE_EFFECT(_4({StoreStatus::conflict, 0}));
     CHECK(admin.apply(document, 1).status().code() == absl::StatusCode::kAborted);
 }
 
-TEST_CASE_METHOD(AdminFixture, "apply_brokenDraft_writesNothing")
+TEST_CASE_METHOD(AdminFixture, "apply_invalidDraft_writesNothing")
 {
-    const StoreRead inStore{StoreStatus::ok, serializeDocument(document), 5};
-    REQUIRE_CALL(store, read(currentKey, _)).LR_SIDE_EFFECT(_2(inStore));
+    const StoreRead stored{StoreStatus::ok, serializeDocument(document), 5};
+    REQUIRE_CALL(store, read(currentKey, _)).LR_SIDE_EFFECT(_2(stored));
     FORBID_CALL(store, compareAndSet(_, _, _, _));
-    ConfigDocument broken = document;
-    broken.base.text += "nonsense: 1\n";
-    CHECK(admin.apply(broken, 1).status().code() == absl::StatusCode::kInvalidArgument);
+    ConfigDocument invalid = document;
+    invalid.base.text += "nonsense: 1\n";
+    CHECK(admin.apply(invalid, 1).status().code() == absl::StatusCode::kInvalidArgument);
 }
 
-TEST_CASE_METHOD(AdminFixture, "apply_storeDown_changesNothing")
+TEST_CASE_METHOD(AdminFixture, "apply_storeUnreachable_changesNothing")
 {
     REQUIRE_CALL(store, read(currentKey, _)).SIDE_EFFECT(_2({StoreStatus::unknown, "", 0}));
     CHECK(admin.apply(document, 1).status().code() == absl::StatusCode::kUnavailable);
 }
 
-TEST_CASE_METHOD(ConfigFixture, "diffDocuments_ofOneLine_namesFileAndLine")
+TEST_CASE_METHOD(ConfigFixture, "diffDocuments_oneAddedLine_namesFileAndLine")
 {
     ConfigDocument other = document;
     other.overlays["b"].text += "regionOneWay: 90ms\n";
--- a/test/control-test.cc
+++ b/test/control-test.cc
@@ -1,4 +1,4 @@
-// The control loop beside a peer that speaks at any moment.
+// Tests of the control loop with a peer that may send messages at any time.
 #include "entry/control.h"
 
 #include <atomic>
@@ -16,7 +16,7 @@
 
 namespace {
 
-// A peer with a newer configuration, which it tells whoever asks.
+// A peer with a newer configuration, which it sends in reply to any request.
 class NewerPeer final : public PeerHandler
 {
 public:
@@ -31,7 +31,7 @@
     }
     ~NewerPeer() override { m_link.stop(); }
 
-    void greet(const std::string &address)
+    void sendProbe(const std::string &address)
     {
         m_link.post([this, address] {
             GossipMessage message;
@@ -44,9 +44,9 @@
 
     void onGossip(const GossipMessage &message, const std::string &) override
     {
-        newsHeard += static_cast<int>(message.rangeUpdates.size());
+        rangeUpdatesReceived += static_cast<int>(message.rangeUpdates.size());
     }
-    std::atomic<int> newsHeard = 0;
+    std::atomic<int> rangeUpdatesReceived = 0;
     PeerReply onRequest(const PeerRequest &) override
     {
         PeerReply reply;
@@ -60,13 +60,13 @@
     PeerLink m_link;
 };
 
-class NoSource final : public StateSource
+class EmptySource final : public StateSource
 {
 public:
     void tick() override { }
 };
 
-// An instance's control loop that is not started yet, and its peer.
+// The control loop of an instance, not started yet, and its peer.
 struct ControlFixture
 {
     ControlFixture()
@@ -93,7 +93,7 @@
 
     void start()
     {
-        control.setStateSource(std::make_unique<NoSource>());
+        control.setStateSource(std::make_unique<EmptySource>());
         control.start();
     }
 
@@ -113,11 +113,11 @@
 
 } // namespace
 
-// Guards against an instance that dies without a word while it starts beside peers that run.
-TEST_CASE_METHOD(ControlFixture,
-                 "control_peerSpeaksBeforeItsStart_takesItsConfigurationOnceStarted")
+// Guards against an instance that crashes without a log line while it starts: a running peer's
+// message arrives before the instance's state source is set.
+TEST_CASE_METHOD(ControlFixture, "control_messageBeforeStart_peersConfigurationIsAppliedAfterStart")
 {
-    peer.greet(state.settings.gossipAddress.text());
+    peer.sendProbe(state.settings.gossipAddress.text());
     std::this_thread::sleep_for(300ms);
     CHECK(state.gate.version() == 0);
     start();
@@ -125,16 +125,16 @@
     CHECK(state.gate.version() == 9);
 }
 
-// Guards against an instance that misses a change because one datagram was lost.
-TEST_CASE_METHOD(ControlFixture, "control_changeOfARange_isToldTwice")
+// Guards against an instance that misses a change of a range because one datagram is lost.
+TEST_CASE_METHOD(ControlFixture, "control_rangeUpdateWithChanges_isSentTwice")
 {
     start();
-    peer.greet(state.settings.gossipAddress.text());
+    peer.sendProbe(state.settings.gossipAddress.text());
     waitFor([this] { return state.members.read() && state.members.read()->size() == 2; });
     control.post([this] {
         control.broadcastRangeUpdate({"servers/", 4, 5, {{"servers/a", "", 5, true}}});
     });
-    waitFor([this] { return peer.newsHeard >= 2; });
+    waitFor([this] { return peer.rangeUpdatesReceived >= 2; });
     std::this_thread::sleep_for(100ms);
-    CHECK(peer.newsHeard == 2);
+    CHECK(peer.rangeUpdatesReceived == 2);
 }
--- a/test/event-stream-test.cc
+++ b/test/event-stream-test.cc
@@ -14,7 +14,7 @@
 
 } // namespace
 
-TEST_CASE("eventStream_cutAnywhere_passesOnWholeEventsOnly")
+TEST_CASE("eventStream_truncatedAnywhere_forwardsCompleteEventsOnly")
 {
     rc::prop("whole events up to the cut", [] {
         std::string all;
@@ -37,9 +37,9 @@
     });
 }
 
-// What the caller sees: a piece twice, or pieces of two answers. In what order: a stream breaks
-// off, it goes on at another server, which starts too early. Why: numbers that do not rise show it.
-TEST_CASE("eventStream_numberThatDoesNotRise_isRefused")
+// Guards against a caller that receives an event twice or events of two responses: a stream is
+// interrupted and resumed on another server, which starts with an earlier event.
+TEST_CASE("eventStream_idThatDoesNotIncrease_isRejected")
 {
     EventStreamParser stream("4");
     std::string out;
--- a/test/http-test.cc
+++ b/test/http-test.cc
@@ -4,7 +4,7 @@
 
 using namespace ibisnotch;
 
-TEST_CASE("headers_get_ignoresCaseAndTakesTheFirst")
+TEST_CASE("headers_nameInAnyCase_returnsFirstValue")
 {
     Headers headers{{"X-One", "1"}, {"x-one", "2"}};
     CHECK(headers.get("x-ONE") == "1");
@@ -13,7 +13,7 @@
     CHECK(headers.get("x-two") == "");
 }
 
-TEST_CASE("queryValue_ofAQuery_findsWholeNames")
+TEST_CASE("queryValue_nameWithinAnotherName_findsWholeNamesOnly")
 {
     CHECK(queryValue("a=1&ab=2&c", "ab") == "2");
     CHECK(queryValue("a=1=2", "a") == "1=2");
@@ -21,20 +21,21 @@
     CHECK_FALSE(queryValue("", "a"));
 }
 
-// A prompt of tens of kilobytes is held by the server's request, by the exchange and by each
-// attempt at once; an instance with hundreds of streams under way held three copies of each.
-TEST_CASE("body_handedOn_isShared")
+// Guards against copies of long prompts: the received request, the exchange and each attempt hold a
+// prompt of tens of kilobytes at the same time, and an instance with hundreds of streams in
+// progress had three copies of each.
+TEST_CASE("body_copiedWithARequest_isShared")
 {
-    const auto kept = std::make_shared<const std::string>("a long prompt");
-    const ibisnotch::Body received(kept);
+    const auto prompt = std::make_shared<const std::string>("a long prompt");
+    const ibisnotch::Body received(prompt);
     ibisnotch::HttpRequest request;
     request.body = received;
-    const ibisnotch::HttpRequest passedOn = request;
-    CHECK(passedOn.body.text().data() == kept->data());
-    CHECK(passedOn.body == ibisnotch::Body("a long prompt"));
+    const ibisnotch::HttpRequest forwarded = request;
+    CHECK(forwarded.body.text().data() == prompt->data());
+    CHECK(forwarded.body == ibisnotch::Body("a long prompt"));
 }
 
-TEST_CASE("body_none_isEmpty")
+TEST_CASE("body_default_isEmpty")
 {
     CHECK(ibisnotch::Body().empty());
     CHECK(ibisnotch::Body() == ibisnotch::Body(""));
--- a/test/load-metrics-test.cc
+++ b/test/load-metrics-test.cc
@@ -4,7 +4,7 @@
 
 using namespace ibisnotch;
 
-TEST_CASE("parseLoadMetrics_ofAnEnginesText_readsWhatIsNeeded")
+TEST_CASE("parseLoadMetrics_vllmMetrics_fillsTheReport")
 {
     const LoadReport report = parseLoadMetrics("e",
                                                "# HELP vllm:num_requests_running x\n"
@@ -19,7 +19,7 @@
     CHECK(report.incarnation == 1796000000250ULL);
 }
 
-TEST_CASE("parseLoadMetrics_ofNonsense_isZero")
+TEST_CASE("parseLoadMetrics_invalidText_reportsZero")
 {
     for (const char *text : {"", "vllm:num_requests_running", "vllm:num_requests_running abc"})
         CHECK(parseLoadMetrics("e", text).running == 0);
--- a/test/metrics-test.cc
+++ b/test/metrics-test.cc
@@ -5,7 +5,7 @@
 using namespace ibisnotch;
 using namespace std::chrono_literals;
 
-TEST_CASE("metrics_ofRequests_arePrintedBySeries")
+TEST_CASE("metrics_recordedRequests_arePrintedBySeries")
 {
     Metrics metrics;
     RequestRecord record{"s", "c", ResultCode::served, 20ms, 10ms, 1, true, false, 0.5, 3};
@@ -42,7 +42,7 @@
     CHECK(text.find("ibisnotch_attempts_total{end=\"silent\"} 1\n") != std::string::npos);
 }
 
-TEST_CASE("metrics_ofAForwardedRequest_countItsCostOnly")
+TEST_CASE("metrics_requestFromAPeer_countsItsCostOnly")
 {
     Metrics metrics;
     metrics.onRequest({"s", "c", ResultCode::served, 20ms, 10ms, 1, false, true, 0.5, 3});
@@ -52,8 +52,8 @@
           != std::string::npos);
 }
 
-// Guards against memory that grows with the customers.
-TEST_CASE("metrics_moreCustomersThanSeries_areCountedTogether")
+// Guards against memory that grows with the number of customers.
+TEST_CASE("metrics_moreCustomersThanSeries_areCountedAsOthers")
 {
     Metrics metrics;
     RequestRecord record;
--- a/test/peer-link-test.cc
+++ b/test/peer-link-test.cc
@@ -7,7 +7,7 @@
 
 namespace {
 
-GossipMessage sample()
+GossipMessage sampleMessage()
 {
     GossipMessage message;
     message.probe.sender.name = "a1";
@@ -25,29 +25,29 @@
 
 } // namespace
 
-TEST_CASE("decodeGossip_ofEncoded_givesItBack")
+TEST_CASE("decodeGossip_encodedMessage_isRestored")
 {
-    CHECK(*decodeGossip(encodeGossip(sample())) == sample());
+    CHECK(*decodeGossip(encodeGossip(sampleMessage())) == sampleMessage());
 }
 
-TEST_CASE("decodeGossip_ofTheReleaseBefore_hasNoNews")
+TEST_CASE("decodeGossip_messageOfProtocol1_hasNoUpdates")
 {
-    GossipMessage before = sample();
-    before.protocol = 1;
-    before.silenceUpdates.clear();
-    before.rangeUpdates.clear();
-    before.rangePositions.clear();
-    before.coldUpdates.clear();
-    CHECK(*decodeGossip(encodeGossip(before)) == before);
+    GossipMessage oldMessage = sampleMessage();
+    oldMessage.protocol = 1;
+    oldMessage.silenceUpdates.clear();
+    oldMessage.rangeUpdates.clear();
+    oldMessage.rangePositions.clear();
+    oldMessage.coldUpdates.clear();
+    CHECK(*decodeGossip(encodeGossip(oldMessage)) == oldMessage);
 }
 
-// What callers see: nothing. In what order: a datagram arrives damaged, cut, or from an instance of
-// a later version with more fields. Why: what cannot be read is dropped, what follows is ignored.
-TEST_CASE("decodeGossip_damagedOrLonger_isDroppedOrReadInPart")
+// Guards against a crash, or against wrong content, when a datagram is damaged, truncated or sent
+// by a later version with more fields. Such datagrams are dropped, and unknown fields are ignored.
+TEST_CASE("decodeGossip_damagedOrWithMoreFields_isDroppedOrReadInPart")
 {
-    const std::string bytes = encodeGossip(sample());
+    const std::string bytes = encodeGossip(sampleMessage());
     const std::string later = bytes.substr(8) + "fields of a later version";
-    CHECK(*decodeGossip(withChecksum(later)) == sample());
+    CHECK(*decodeGossip(withChecksum(later)) == sampleMessage());
     CHECK_FALSE(decodeGossip(withChecksum(bytes.substr(8, 40))));
     rc::prop("no crash on damage", [&bytes] {
         std::string damaged = bytes;
--- a/test/rcu-test.cc
+++ b/test/rcu-test.cc
@@ -8,9 +8,9 @@
 
 using namespace ibisnotch;
 
-// What a request sees: a whole table, old or new. In what order: a writer replaces it while several
-// threads read. Why: the old one is freed after the last reader that may hold it.
-TEST_CASE("rcuValue_readWhileReplaced_isAlwaysWhole")
+// Guards against a reader that sees a partly replaced or freed value while a writer replaces it.
+// The old value is freed only after the last reader that may use it.
+TEST_CASE("rcuValue_readWhileReplaced_isAlwaysConsistent")
 {
     struct Pair
     {
@@ -20,21 +20,21 @@
     RcuValue<Pair> value;
     CHECK(value.read() == nullptr);
     value.publish(std::make_shared<const Pair>());
-    std::atomic<bool> over = false;
-    std::atomic<int> torn = 0;
+    std::atomic<bool> finished = false;
+    std::atomic<int> tornReads = 0;
     std::vector<std::thread> readers;
     for (int i = 0; i < 3; ++i)
         readers.emplace_back([&] {
-            while (!over) {
+            while (!finished) {
                 const auto pair = value.read();
-                torn += pair->one != pair->two ? 1 : 0;
+                tornReads += pair->one != pair->two ? 1 : 0;
             }
         });
     for (int i = 1; i <= 500; ++i)
         value.publish(std::make_shared<const Pair>(Pair{i, i}));
-    over = true;
+    finished = true;
     for (std::thread &reader : readers)
         reader.join();
-    CHECK(torn == 0);
+    CHECK(tornReads == 0);
     CHECK(value.read()->one == 500);
 }
--- a/test/response-check-test.cc
+++ b/test/response-check-test.cc
@@ -24,68 +24,68 @@
 
 } // namespace
 
-// What the caller sees: the whole stream, however it was cut into packets. Why: only whole events
-// are passed on, and the end counts only after "[DONE]".
-TEST_CASE("responseCheck_streamInAnyPieces_passesItOnUnchanged")
+// Guards against a stream that depends on how the network splits it: however it is split, it is
+// forwarded unchanged and is complete only after "[DONE]".
+TEST_CASE("responseCheck_streamSplitAnywhere_isForwardedUnchanged")
 {
-    rc::prop("pieces do not matter", [] {
+    rc::prop("any split forwards the same text", [] {
         const std::string text = stream(*rc::gen::inRange(0, 6));
         ResponseCheck check("r1", ResponseFormat::eventStream);
         RC_ASSERT(check.onHead(200, streamHeaders) == ResponseVerdict::valid);
-        std::string passed;
+        std::string forwarded;
         std::size_t at = 0;
         while (at < text.size()) {
             RC_ASSERT(!check.isComplete());
             const std::size_t size = *rc::gen::inRange<std::size_t>(1, 20);
-            RC_ASSERT(check.onData(std::string_view(text).substr(at, size), passed)
+            RC_ASSERT(check.onData(std::string_view(text).substr(at, size), forwarded)
                       == ResponseVerdict::valid);
             at += size;
         }
-        RC_ASSERT(passed == text);
+        RC_ASSERT(forwarded == text);
         RC_ASSERT(check.isComplete());
     });
 }
 
-// What the caller sees: an error in place of a digest that lacks its end. In what order: the engine
-// ends the HTTP message early but cleanly. Why: a stream without "[DONE]" is not whole.
-TEST_CASE("responseCheck_streamCutAnywhere_isNotWhole")
+// Guards against a truncated response that looks complete: the engine ends the HTTP message early
+// but correctly, so only the missing "[DONE]" shows it.
+TEST_CASE("responseCheck_streamTruncatedAnywhere_isIncomplete")
 {
-    rc::prop("a prefix is never whole", [] {
+    rc::prop("a prefix is never complete", [] {
         const std::string text = stream(3);
         const std::size_t size = *rc::gen::inRange<std::size_t>(0, text.size());
         ResponseCheck check("r1", ResponseFormat::eventStream);
         check.onHead(200, streamHeaders);
-        std::string passed;
-        check.onData(std::string_view(text).substr(0, size), passed);
+        std::string forwarded;
+        check.onData(std::string_view(text).substr(0, size), forwarded);
         RC_ASSERT(!check.isComplete());
-        RC_ASSERT(text.rfind(passed, 0) == 0);
+        RC_ASSERT(text.rfind(forwarded, 0) == 0);
     });
 }
 
-// What the caller sees: never another caller's words. In what order: the engine answers with the id
-// of another request, or mixes another completion into the stream. Why: both ids are compared
-// before anything of the event is passed on.
-TEST_CASE("responseCheck_answerOfAnotherRequest_isNotOurs")
+// Guards against a caller that receives another caller's response: the engine responds with the id
+// of another request, or mixes another completion into the stream. Both ids are checked before an
+// event is forwarded.
+TEST_CASE("responseCheck_responseToAnotherRequest_isRejected")
 {
-    ResponseCheck crossed("r1", ResponseFormat::json);
-    CHECK(crossed.onHead(200, {{"X-Request-Id", "r2"}}) == ResponseVerdict::wrongRequest);
-    ResponseCheck unnamed("r1", ResponseFormat::json);
-    CHECK(unnamed.onHead(200, {}) == ResponseVerdict::wrongRequest);
-    ResponseCheck mixed("r1", ResponseFormat::eventStream);
-    mixed.onHead(200, streamHeaders);
-    std::string passed;
-    CHECK(mixed.onData(event("c1"), passed) == ResponseVerdict::valid);
-    CHECK(mixed.onData(event("c2"), passed) == ResponseVerdict::wrongRequest);
-    CHECK(passed == event("c1"));
+    ResponseCheck otherId("r1", ResponseFormat::json);
+    CHECK(otherId.onHead(200, {{"X-Request-Id", "r2"}}) == ResponseVerdict::wrongRequest);
+    ResponseCheck withoutId("r1", ResponseFormat::json);
+    CHECK(withoutId.onHead(200, {}) == ResponseVerdict::wrongRequest);
+    ResponseCheck mixedStream("r1", ResponseFormat::eventStream);
+    mixedStream.onHead(200, streamHeaders);
+    std::string forwarded;
+    CHECK(mixedStream.onData(event("c1"), forwarded) == ResponseVerdict::valid);
+    CHECK(mixedStream.onData(event("c2"), forwarded) == ResponseVerdict::wrongRequest);
+    CHECK(forwarded == event("c1"));
 }
 
-TEST_CASE("responseCheck_jsonCutShort_isNotWhole")
+TEST_CASE("responseCheck_truncatedJson_isIncomplete")
 {
     ResponseCheck check("r1", ResponseFormat::json);
     check.onHead(200, {{"X-Request-Id", "r1"}});
-    std::string passed;
-    check.onData("{\"a\":", passed);
+    std::string forwarded;
+    check.onData("{\"a\":", forwarded);
     CHECK_FALSE(check.isComplete());
-    check.onData("1}", passed);
+    check.onData("1}", forwarded);
     CHECK(check.isComplete());
 }
