--- a/src/entry/dispatch-plan.cc
+++ b/src/entry/dispatch-plan.cc
@@ -186,7 +186,8 @@
         m_routeInputs.maxEventIntervalSeconds
             = m_state.streamStatistics.maxEventIntervalSeconds(loadName(*m_exchange), now);
     if (isRemote)
-        m_routeInputs.remoteLoad = m_state.regionLoads.find(*answer.region, loadName(*m_exchange), now);
+        m_routeInputs.remoteLoad
+            = m_state.regionLoads.find(*answer.region, loadName(*m_exchange), now);
     if (admit && !m_admitted) {
         const RegionLoad load
             = isRemote ? m_routeInputs.remoteLoad.value_or(RegionLoad{}) : input.localLoad;
