--- a/include/ibisnotch/booking.h
+++ b/include/ibisnotch/booking.h
@@ -214,7 +214,7 @@
     {
         IssuedKeyUse use = IssuedKeyUse::issuerGone;
         int httpStatus = 0;
-        std::string answer;
+        std::string responseBody;
         bool operator==(const Decision &) const = default;
     };
     Decision begin(const IssuedKey &key, const std::string &customer, const std::string &bodyHash,
@@ -222,7 +222,7 @@
 
     // Called after the request has been sent: with its response, if it certainly did not run (the
     // key may then be used again), or if its outcome is unknown.
-    void finishDone(const std::string &key, int httpStatus, std::string answer);
+    void finishDone(const std::string &key, int httpStatus, std::string responseBody);
     void finishNotRun(const std::string &key);
     void finishUnknown(const std::string &key);
 
@@ -237,7 +237,7 @@
         TimePoint issued;
         State state = State::unused;
         int httpStatus = 0;
-        std::string answer;
+        std::string responseBody;
     };
 
     void removeExpired(TimePoint now);
--- a/include/ibisnotch/membership.h
+++ b/include/ibisnotch/membership.h
@@ -27,7 +27,8 @@
     std::string gossipAddress;
     std::uint64_t incarnation = 0;
     MemberState state = MemberState::alive;
-    std::uint8_t loadPercent = 0; // load of this instance's share of the region's capacity
+    std::uint8_t loadPercent
+        = 0; // load in percent of the instance's share of the region's capacity
 
     template <typename Archive> void serialize(Archive &archive)
     {
@@ -73,8 +74,8 @@
     // Dead members are kept for this time and probed occasionally, so that the two sides of a
     // network partition find each other again without an operator once it has healed.
     Duration deadRetention = std::chrono::hours(1);
-    // Time for which a dead member still counts as sending to backend servers: it may run and only
-    // be unreachable from this instance.
+    // Time for which a dead member still counts as sending to backend servers: it may still be
+    // running and merely be unreachable from this instance.
     Duration deadSenderGrace = std::chrono::seconds(30);
     int indirectProbes = 3;
     // Share of the probes that go to members of the own region. These probes carry load reports,
@@ -105,6 +106,7 @@
     // Returns pings to `fanout` random members, for updates that must not wait for the next probe.
     std::vector<OutgoingProbe> broadcast(int fanout, Random &random);
 
+    // Announces with the next probes that this instance is stopping.
     void leave();
     void setSeeds(std::vector<std::string> seeds) { m_seeds = std::move(seeds); }
     void setLoadPercent(std::uint8_t percent) { m_self.loadPercent = percent; }
--- a/include/ibisnotch/prefix-follower.h
+++ b/include/ibisnotch/prefix-follower.h
@@ -48,7 +48,7 @@
         // A watch on a connection that no longer responds fails only after this time, so it bounds
         // the age of the known changes; the platform counts each watch as a call.
         Duration watchTimeout = std::chrono::seconds(4);
-        // Changes within this time are fetched by one call.
+        // Delay before the next watch after a change, so that one call fetches several changes.
         Duration coalesceDelay = std::chrono::milliseconds(100);
         // Relays use shorter watches, so that listeners often receive that nothing has changed.
         Duration relayWatchTimeout = std::chrono::seconds(1);
@@ -89,15 +89,15 @@
     std::optional<RangeUpdate> updateSince(const std::string &prefix, std::uint64_t revision) const;
     // Returns the revision of the last known change, 0 before the range has been listed.
     std::uint64_t lastChange() const { return m_lastChange; }
-    // Returns true if the pending call is a watch. A listing stays one even if a peer sends the
-    // full range meanwhile: its response contains keys, not changes.
+    // Returns true if the pending call is a watch. A pending listing remains a listing even if a
+    // peer sends the full range meanwhile: its response contains keys, not changes.
     bool isWatchPending() const { return m_callPending && !m_listPending; }
     // Returns false while the range is being listed.
     bool isWatching() const { return m_watching; }
     // Returns the revision up to which all changes are known.
     std::uint64_t asOf() const { return m_asOf; }
-    // Returns the base of the update made from the next response: an instance that knows all
-    // changes up to it needs nothing else.
+    // Returns the base for the update that is made from the next response. An instance that knows
+    // all changes up to this revision can apply that update.
     std::uint64_t updateBase() const { return std::min(m_asOf, m_lastChange); }
 
     // Returns how long the known state counts as current after it was confirmed. It is longer than
--- a/include/ibisnotch/quarantine.h
+++ b/include/ibisnotch/quarantine.h
@@ -21,7 +21,7 @@
 {
     std::string fingerprint;
     std::string server;
-    std::string observer; // name of the entry instance that may try the request again
+    std::string observer; // entry instance that may try the request again
     std::uint32_t ageMs = 0; // time since the crash, when sent
     bool cleared = false; // the request was answered after all and is not suspect
 
--- a/include/ibisnotch/usage-cap.h
+++ b/include/ibisnotch/usage-cap.h
@@ -44,6 +44,7 @@
     bool operator==(const RegionUsage &) const = default;
 };
 
+// Returns the hash that identifies a customer in usage reports.
 std::uint32_t customerId(std::string_view name);
 
 struct UsageDecision
@@ -82,7 +83,7 @@
         // Up to this age totals have full weight; the weight then falls to zero at `usageMaxAge`.
         Duration usageFreshFor = std::chrono::milliseconds(400);
         // Four times the reporting interval, so that three reports in a row may be lost. Until this
-        // age, both sides of a partition use the whole cap.
+        // age, both sides of a partition use more than their shares of a cap.
         Duration usageMaxAge = std::chrono::seconds(1);
         // Time over which the unused burst is granted or an overdraft is compensated. Updates from
         // other regions take up to half of it.
@@ -113,10 +114,12 @@
 
     // Returns the usage that this instance reports to the instance which aggregates its region.
     std::vector<CustomerUsage> localUsage(TimePoint now);
+    // Called at the aggregating instance with the report of an instance of the region.
     void onInstanceUsage(const std::string &instance, std::vector<CustomerUsage> usages,
                          TimePoint now);
     // Returns the totals of the region. Called at the instance that aggregates them.
     RegionUsage aggregateRegion(TimePoint now);
+    // Called with the totals of any region, including the own one.
     void onRegionUsage(const RegionUsage &usage, TimePoint now);
     // Returns the totals of all regions that are not older than `usageMaxAge`.
     std::vector<RegionUsage> regionUsages(TimePoint now);
--- a/src/decide/booking.cc
+++ b/src/decide/booking.cc
@@ -417,21 +417,21 @@
     case State::sending:
         return {IssuedKeyUse::inProgress, 0, ""};
     case State::done:
-        return {IssuedKeyUse::repeat, entry.httpStatus, entry.answer};
+        return {IssuedKeyUse::repeat, entry.httpStatus, entry.responseBody};
     case State::unknown:
         return {IssuedKeyUse::unknown, 0, ""};
     }
     return {IssuedKeyUse::unknown, 0, ""};
 }
 
-void IssuedKeys::finishDone(const std::string &key, int httpStatus, std::string answer)
+void IssuedKeys::finishDone(const std::string &key, int httpStatus, std::string responseBody)
 {
     const auto found = m_keys.find(key);
     if (found == m_keys.end())
         return;
     found->second.state = State::done;
     found->second.httpStatus = httpStatus;
-    found->second.answer = std::move(answer);
+    found->second.responseBody = std::move(responseBody);
 }
 
 void IssuedKeys::finishNotRun(const std::string &key)
--- a/src/entry/dispatch-booking.cc
+++ b/src/entry/dispatch-booking.cc
@@ -40,7 +40,7 @@
         HttpResponse response{
             decision.httpStatus,
             resultHeaders(m_exchange->id, ResultCode::bookingRepeated, servedBy({})),
-            decision.answer};
+            decision.responseBody};
         response.headers.add("Content-Type", "application/json");
         m_exchange->responder->reply(response);
         return finish(ResultCode::bookingRepeated);
--- a/test/booking-test.cc
+++ b/test/booking-test.cc
@@ -388,7 +388,7 @@
                     --mayHaveRun[key];
                     keys->finishNotRun(key);
                 } else if (what == 6) {
-                    keys->finishDone(key, 200, "answer");
+                    keys->finishDone(key, 200, "response");
                 } else {
                     keys->finishUnknown(key);
                 }
@@ -407,10 +407,10 @@
     const auto parsed = std::get<IssuedKey>(*parseBookingKey(key));
     CHECK(keys.begin(parsed, "c1", "body", TimePoint()).use == IssuedKeyUse::send);
     CHECK(keys.begin(parsed, "c1", "body", TimePoint()).use == IssuedKeyUse::inProgress);
-    keys.finishDone(key, 201, "the answer");
+    keys.finishDone(key, 201, "the response");
     const auto again = keys.begin(parsed, "c1", "body", TimePoint());
     CHECK(again.use == IssuedKeyUse::repeat);
-    CHECK(again.answer == "the answer");
+    CHECK(again.responseBody == "the response");
     CHECK(keys.begin(parsed, "c1", "other", TimePoint()).use == IssuedKeyUse::bodyMismatch);
     CHECK(keys.begin(parsed, "c2", "body", TimePoint()).use == IssuedKeyUse::issuerGone);
 }
