--- a/src/entry/attempt.cc
+++ b/src/entry/attempt.cc
@@ -19,20 +19,20 @@
 {
 }
 
-bool Dispatch::Attempt::stopWith(AttemptOutcome end)
+bool Dispatch::Attempt::stopWith(AttemptOutcome outcome)
 {
-    m_stoppedWith = end;
+    m_earlyOutcome = outcome;
     return false;
 }
 
 bool Dispatch::Attempt::onHead(int status, const Headers &headers)
 {
-    m_answer.status = status;
-    m_answer.headers = headers;
-    const auto end = m_reader->onHead(status, headers);
+    m_response.status = status;
+    m_response.headers = headers;
+    const auto outcome = m_reader->onHead(status, headers);
     m_lastReceivedAt = m_dispatch->m_state.clock.now();
     m_dispatch->onServerResponse(m_target, *m_reader);
-    return end ? stopWith(*end) : true;
+    return outcome ? stopWith(*outcome) : true;
 }
 
 bool Dispatch::Attempt::onData(std::string_view data)
@@ -41,21 +41,21 @@
     m_lastReceivedAt = m_dispatch->m_state.clock.now();
     if (m_target.counters)
         recordReceived(*m_target.counters, m_lastReceivedAt);
-    const auto end = m_reader->onData(data, passed);
+    const auto outcome = m_reader->onData(data, passed);
     recordEventInterval();
-    if (!end && !passed.empty() && !m_reader->isStreaming() && !m_exceedsBuffer) {
-        m_answer.body += passed;
-        if (m_answer.body.size() <= maxBufferedBody)
+    if (!outcome && !passed.empty() && !m_reader->isStreaming() && !m_exceedsBuffer) {
+        m_response.body += passed;
+        if (m_response.body.size() <= maxBufferedBody)
             return true;
         // From here on the caller sees a failure only as a connection that ends early.
         m_exceedsBuffer = true;
-        passed = std::move(m_answer.body);
-        m_answer.body.clear();
+        passed = std::move(m_response.body);
+        m_response.body.clear();
     }
     if (!passed.empty())
-        m_dispatch->writeToCaller(m_answer, std::move(passed));
-    if (end)
-        return stopWith(*end);
+        m_dispatch->writeToCaller(m_response, std::move(passed));
+    if (outcome)
+        return stopWith(*outcome);
     return !m_dispatch->m_exchange->responder->isClosed();
 }
 
@@ -83,16 +83,16 @@
         && m_dispatch->m_exchange->responder->pendingBytes() > maxPendingToCaller;
 }
 
-AttemptOutcome Dispatch::Attempt::attemptEndOf(const TransferResult &result) const
+AttemptOutcome Dispatch::Attempt::outcomeOf(const TransferResult &result) const
 {
-    if (m_stoppedWith)
-        return *m_stoppedWith;
+    if (m_earlyOutcome)
+        return *m_earlyOutcome;
     if (m_dispatch->m_exchange->responder->isClosed()
         && result.outcome != TransferOutcome::complete)
         return AttemptOutcome::callerLeft;
     switch (result.outcome) {
     case TransferOutcome::complete:
-        return m_reader->attemptEnd();
+        return m_reader->outcome();
     case TransferOutcome::notConnected:
         return AttemptOutcome::notConnected;
     case TransferOutcome::timedOut:
@@ -107,7 +107,7 @@
 void Dispatch::Attempt::onEnd(const TransferResult &result)
 {
     // The HTTP client keeps this object, and this object the dispatch, alive until onEnd() returns.
-    m_dispatch->onAttemptEnd(m_target, attemptEndOf(result), *this);
+    m_dispatch->onAttemptFinished(m_target, outcomeOf(result), *this);
 }
 
 } // namespace ibisnotch
--- a/src/entry/attempt.h
+++ b/src/entry/attempt.h
@@ -23,20 +23,20 @@
     bool keepsWaiting() override;
     void onEnd(const TransferResult &result) override;
 
-    const HttpResponse &answer() const { return m_answer; }
+    const HttpResponse &response() const { return m_response; }
     const ResponseReader &reader() const { return *m_reader; }
 
 private:
     void recordEventInterval();
-    bool stopWith(AttemptOutcome end);
-    AttemptOutcome attemptEndOf(const TransferResult &result) const;
+    bool stopWith(AttemptOutcome outcome);
+    AttemptOutcome outcomeOf(const TransferResult &result) const;
 
     std::shared_ptr<Dispatch> m_dispatch;
     Target m_target;
     std::unique_ptr<ResponseReader> m_reader;
-    HttpResponse m_answer; // the body is buffered unless the response is a stream or too long
+    HttpResponse m_response; // the body is buffered unless the response is a stream or too long
     bool m_exceedsBuffer = false; // the body is too long to be buffered
-    std::optional<AttemptOutcome> m_stoppedWith;
+    std::optional<AttemptOutcome> m_earlyOutcome;
     TimePoint m_lastReceivedAt; // time of the last data, or of the start of the attempt
     int m_eventsRecorded = 0;
     TimePoint m_lastEventAt{};
--- a/src/entry/chat-pages.cc
+++ b/src/entry/chat-pages.cc
@@ -31,7 +31,7 @@
 
 } // namespace
 
-HttpResponse ChatPages::answer(const HttpRequest &request)
+HttpResponse ChatPages::respond(const HttpRequest &request)
 {
     if (request.path == "/healthz")
         return {200, {}, "ok\n"};
--- a/src/entry/chat-pages.h
+++ b/src/entry/chat-pages.h
@@ -15,7 +15,7 @@
     {
     }
 
-    HttpResponse answer(const HttpRequest &request) override;
+    HttpResponse respond(const HttpRequest &request) override;
 
 private:
     HttpResponse entries(const HttpRequest &request);
--- a/src/entry/chat-protocol.cc
+++ b/src/entry/chat-protocol.cc
@@ -48,7 +48,7 @@
         return AttemptOutcome::truncated;
     }
 
-    AttemptOutcome attemptEnd() const override
+    AttemptOutcome outcome() const override
     {
         return m_check.isComplete() ? AttemptOutcome::answered : AttemptOutcome::truncated;
     }
--- a/src/entry/claim-service.cc
+++ b/src/entry/claim-service.cc
@@ -52,9 +52,9 @@
 
 bool ClaimService::hasPendingOutcomes()
 {
-    std::promise<bool> answer;
-    m_client.post([this, &answer] { answer.set_value(!m_pages.empty()); });
-    return answer.get_future().get();
+    std::promise<bool> pending;
+    m_client.post([this, &pending] { pending.set_value(!m_pages.empty()); });
+    return pending.get_future().get();
 }
 
 void ClaimService::advance(const std::string &name)
--- a/src/entry/cold-server-monitor.cc
+++ b/src/entry/cold-server-monitor.cc
@@ -62,20 +62,20 @@
     if (!left)
         return std::nullopt;
     const auto ms = std::chrono::duration_cast<std::chrono::milliseconds>(*left).count();
-    const ColdUpdate news{serverId(view.server.name), static_cast<std::uint32_t>(ms)};
-    if (!onUpdate(news))
+    const ColdUpdate update{serverId(view.server.name), static_cast<std::uint32_t>(ms)};
+    if (!onUpdate(update))
         return std::nullopt;
     logLine(LogPart::load, LogLevel::info, "Backend server cold.",
             {{"server", view.server.name},
              {"source", "health check"},
-             {"leftMs", std::to_string(news.remainingMs)}});
-    return news;
+             {"leftMs", std::to_string(update.remainingMs)}});
+    return update;
 }
 
-bool ColdServerMonitor::onUpdate(const ColdUpdate &news)
+bool ColdServerMonitor::onUpdate(const ColdUpdate &update)
 {
-    const Duration left = std::chrono::milliseconds(news.remainingMs);
-    return m_state.servers.onCold(news.server, left, m_state.clock.now());
+    const Duration left = std::chrono::milliseconds(update.remainingMs);
+    return m_state.servers.onCold(update.server, left, m_state.clock.now());
 }
 
 } // namespace ibisnotch
--- a/src/entry/cold-server-monitor.h
+++ b/src/entry/cold-server-monitor.h
@@ -41,7 +41,7 @@
                                                  const BufferedResponse &answer);
     // Applies an update, from another instance of the region or from a check. Returns true if it
     // changed anything.
-    bool onUpdate(const ColdUpdate &news);
+    bool onUpdate(const ColdUpdate &update);
 
 private:
     EntryState &m_state;
--- a/src/entry/control-loads.cc
+++ b/src/entry/control-loads.cc
@@ -53,13 +53,13 @@
     std::vector<RegionLoad> loads;
     const TimePoint now = m_state.clock.now();
     const FleetConfig &config = *table.config;
-    const auto add = [&](const std::string &loadName, std::vector<Candidate> candidates) {
+    const auto add = [&](const std::string &loadKey, std::vector<Candidate> candidates) {
         // Cold servers are left out: when they were counted, other regions sent prompts to a region
         // whose servers had all just restarted, and 324 requests were refused in two seconds.
         removeCold(candidates, now);
-        addEngineEstimates(candidates, m_state.promptLengths.mean(loadName), now);
+        addEngineEstimates(candidates, m_state.promptLengths.mean(loadKey), now);
         if (loads.size() < maxRegionLoadsPerMessage)
-            loads.push_back(summarizeLoad(m_state.settings.region, loadName, candidates));
+            loads.push_back(summarizeLoad(m_state.settings.region, loadKey, candidates));
     };
     for (const auto &[name, pool] : config.pools)
         add(name, candidatesForPool(table, name));
--- a/src/entry/dispatch-booking.cc
+++ b/src/entry/dispatch-booking.cc
@@ -124,13 +124,13 @@
     route();
 }
 
-void Dispatch::settleDone(int status, const std::string &answer)
+void Dispatch::settleDone(int status, const std::string &responseBody)
 {
     if (m_sendRight == SendRight::claim)
         m_claimService->settle(m_claimPage, m_claimAttempt, m_claimId, ClaimState::done, status);
     if (m_sendRight == SendRight::issuedKey) {
         const std::lock_guard lock(m_state.keysMutex);
-        m_state.issuedKeys.finishDone(m_exchange->bookingKeyText, status, answer);
+        m_state.issuedKeys.finishDone(m_exchange->bookingKeyText, status, responseBody);
     }
     m_sendRight = SendRight::notNeeded;
 }
--- a/src/entry/dispatch-end.cc
+++ b/src/entry/dispatch-end.cc
@@ -26,7 +26,7 @@
         return refuse({code, "", jitteredRetryAfter(1, m_state.random)});
     }
     if (run == RunState::run)
-        settleDone(attempt.answer().status, attempt.answer().body);
+        settleDone(attempt.response().status, attempt.response().body);
     else if (run == RunState::notRun)
         settleNotRun();
     else
@@ -35,46 +35,46 @@
         m_exchange->responder->finish();
         return finish(code);
     }
-    reply(attempt.answer(), code);
+    reply(attempt.response(), code);
 }
 
-void Dispatch::reply(HttpResponse answer, ResultCode code)
+void Dispatch::reply(HttpResponse response, ResultCode code)
 {
     m_firstByteAt = m_state.clock.now();
-    answer.headers = m_protocol.makeResponseHeaders(*m_exchange, code, answer.headers,
-                                                    servedBy(answer.headers));
-    m_exchange->responder->reply(std::move(answer));
+    response.headers = m_protocol.makeResponseHeaders(*m_exchange, code, response.headers,
+                                                      servedBy(response.headers));
+    m_exchange->responder->reply(std::move(response));
     finish(code);
 }
 
 // Ends a stream early. The caller has part of the response and must see that the rest is missing.
-void Dispatch::abortStream(AttemptOutcome end)
+void Dispatch::abortStream(AttemptOutcome outcome)
 {
     const bool late = remaining().count() <= 0;
-    const ResultCode code = finalResultCode(end, m_exchange->service->idempotent, late);
+    const ResultCode code = finalResultCode(outcome, m_exchange->service->idempotent, late);
     m_exchange->responder->write(m_protocol.makeStreamError(*m_exchange, code, servedBy({})));
     m_exchange->responder->abort();
     settleUnknown();
     finish(code);
 }
 
-void Dispatch::failRequest(AttemptOutcome end)
+void Dispatch::failRequest(AttemptOutcome outcome)
 {
     const bool late = remaining().count() <= 0;
-    if (end == AttemptOutcome::callerLeft) {
+    if (outcome == AttemptOutcome::callerLeft) {
         settleUnknown();
         return finish(ResultCode::callerLeft);
     }
     // The issuer cannot be reached and may have sent the booking of this key before.
-    if (m_forwardedToIssuer && certainlyNotRun(end))
+    if (m_forwardedToIssuer && certainlyNotRun(outcome))
         return refuse({ResultCode::issuerGone, "", {}});
-    if (certainlyNotRun(end))
+    if (certainlyNotRun(outcome))
         settleNotRun();
     else
         settleUnknown();
-    const ResultCode code = finalResultCode(end, m_exchange->service->idempotent, late);
-    const bool mayComeBack = m_exchange->service->idempotent || certainlyNotRun(end);
-    refuse({code, "", mayComeBack ? jitteredRetryAfter(1, m_state.random) : Duration(0)});
+    const ResultCode code = finalResultCode(outcome, m_exchange->service->idempotent, late);
+    const bool mayRetry = m_exchange->service->idempotent || certainlyNotRun(outcome);
+    refuse({code, "", mayRetry ? jitteredRetryAfter(1, m_state.random) : Duration(0)});
 }
 
 void Dispatch::refuse(const Refusal &wanted)
@@ -112,8 +112,8 @@
         m_state.admission.onFinished(exchange.customer->name, exchange.service->name);
     m_admitted = false;
     // A request that did not run doesn't count against the customer's usage cap.
-    const bool ran = m_attempts > 0 && resultInfo(code).runState != RunState::notRun;
-    if (exchange.usageCounted > 0 && !ran)
+    const bool hasRun = m_attempts > 0 && resultInfo(code).runState != RunState::notRun;
+    if (exchange.usageCounted > 0 && !hasRun)
         m_state.usageCaps.release(exchange.customer->name, exchange.usageCounted, now);
     RequestRecord record;
     record.service = exchange.service->name;
@@ -131,9 +131,9 @@
     m_state.metrics.onRequest(record);
     // Errors of the caller don't count against the service's error budget.
     constexpr int firstSystemCode = 3000;
-    const bool callersFault
+    const bool isCallerError
         = static_cast<int>(code) < firstSystemCode && resultInfo(code).runState == RunState::notRun;
-    if (!callersFault && !exchange.fromPeer)
+    if (!isCallerError && !exchange.fromPeer)
         m_state.burn.count(record.service, record.customer, !good, m_state.clock.wallNow());
     m_exchange->trace.resultCode = static_cast<int>(code);
     m_state.traces.add(m_exchange->trace);
--- a/src/entry/dispatch-plan.cc
+++ b/src/entry/dispatch-plan.cc
@@ -41,7 +41,7 @@
         std::erase_if(candidates,
                       [](const Candidate &one) { return one.view->status == ServerStatus::trial; });
     if (m_exchange->prompt.tokens > 0)
-        addEngineEstimates(candidates, m_state.promptLengths.mean(loadName(*m_exchange)),
+        addEngineEstimates(candidates, m_state.promptLengths.mean(loadKey(*m_exchange)),
                            m_state.clock.now());
     return candidates;
 }
@@ -92,20 +92,20 @@
     return {lastSentAt, *share > 0, canSendPossiblyCold(counters, *share, *since)};
 }
 
-// While neither the store nor a peer reports which servers are cold, a burst could reach a server
-// that became cold a moment ago.
+// Removes servers that may have become cold and have not been checked since. While neither the
+// store nor a peer reports which servers are cold, a burst could reach such a server.
 bool Dispatch::keepReadyCandidates(const RoutingTable &table,
                                    std::vector<Candidate> &candidates) const
 {
     std::vector<PossiblyColdServer> servers;
     for (const Candidate &candidate : candidates)
         servers.push_back(possiblyColdServer(table, *candidate.view));
-    const PossiblyColdChoice answer = choosePossiblyCold(servers);
+    const PossiblyColdChoice choice = choosePossiblyCold(servers);
     std::vector<Candidate> ready;
-    for (const std::size_t index : answer.ready)
+    for (const std::size_t index : choice.ready)
         ready.push_back(candidates[index]);
     candidates = std::move(ready);
-    return !answer.wait;
+    return !choice.wait;
 }
 
 std::optional<std::size_t> Dispatch::possiblyColdShareOf(const RoutingTable &table,
@@ -150,8 +150,8 @@
             input.reachable.push_back(member.region);
     }
     input.service = &service;
-    input.loadKey = loadName(*m_exchange);
-    input.localLoad = summarizeLoad(input.localRegion, loadName(*m_exchange), candidates);
+    input.loadKey = loadKey(*m_exchange);
+    input.localLoad = summarizeLoad(input.localRegion, loadKey(*m_exchange), candidates);
     input.weights = config.weights;
     input.oneWayDelay = config.regionOneWay;
     input.awayMargin = config.limits.awayMargin;
@@ -167,16 +167,16 @@
     // A caller that has part of its stream is not rejected for the rest.
     admit = admit && m_exchange->lastEventId.empty();
     input.localRejects = admit && !m_admitted
-        && m_state.admission.decide(admissionQuestion(input.localLoad, false), m_state.random).code
+        && m_state.admission.decide(admissionInput(input.localLoad, false), m_state.random).code
             != ResultCode::served;
-    const RegionDecision answer
+    const RegionDecision decision
         = m_state.regionChooser.choose(input, m_state.regionLoads, now, m_state.random);
-    if (answer.residencyForbids)
+    if (decision.residencyForbids)
         return Refusal{ResultCode::residencyForbids, "", {}};
-    if (!answer.region)
+    if (!decision.region)
         return Refusal{ResultCode::noBackendServer, "",
                        jitteredRetryAfter(noServerRetrySeconds, m_state.random)};
-    const bool isRemote = *answer.region != input.localRegion;
+    const bool isRemote = *decision.region != input.localRegion;
     m_routeInputs = {};
     m_routeInputs.localLoad = input.localLoad;
     m_routeInputs.listRevision = table->list.revision;
@@ -184,15 +184,15 @@
         m_routeInputs.listAge = now - table->list.confirmedAt;
     if (m_exchange->prompt.tokens > 0)
         m_routeInputs.maxEventIntervalSeconds
-            = m_state.streamStatistics.maxEventIntervalSeconds(loadName(*m_exchange), now);
+            = m_state.streamStatistics.maxEventIntervalSeconds(loadKey(*m_exchange), now);
     if (isRemote)
         m_routeInputs.remoteLoad
-            = m_state.regionLoads.find(*answer.region, loadName(*m_exchange), now);
+            = m_state.regionLoads.find(*decision.region, loadKey(*m_exchange), now);
     if (admit && !m_admitted) {
         const RegionLoad load
             = isRemote ? m_routeInputs.remoteLoad.value_or(RegionLoad{}) : input.localLoad;
         const AdmissionDecision admission
-            = m_state.admission.decide(admissionQuestion(load, isRemote), m_state.random);
+            = m_state.admission.decide(admissionInput(load, isRemote), m_state.random);
         if (admission.code != ResultCode::served)
             return Refusal{admission.code, "", admission.retryAfter};
         m_admitted = true;
@@ -200,11 +200,11 @@
                                      m_exchange->customer->share);
     }
     if (isRemote)
-        return planRemote(*answer.region);
+        return planRemote(*decision.region);
     return pickServer(*table);
 }
 
-AdmissionInput Dispatch::admissionQuestion(const RegionLoad &load, bool isRemote) const
+AdmissionInput Dispatch::admissionInput(const RegionLoad &load, bool isRemote) const
 {
     const FleetConfig &config = m_exchange->config();
     AdmissionInput input;
@@ -222,7 +222,7 @@
     input.promptReadDelaySeconds = m_exchange->prompt.tokens > 0 ? load.readDelaySeconds : 0;
     if (m_exchange->prompt.tokens > 0) {
         const TimePoint now = m_state.clock.now();
-        const std::string &pool = loadName(*m_exchange);
+        const std::string &pool = loadKey(*m_exchange);
         input.eventIntervalSeconds = load.eventIntervalSeconds;
         input.maxEventIntervalSeconds = m_state.streamStatistics.maxEventIntervalSeconds(pool, now);
         input.lessUrgentServices
--- a/src/entry/dispatch.cc
+++ b/src/entry/dispatch.cc
@@ -27,7 +27,7 @@
 constexpr double maxUtilizationForOthers = 0.9;
 // An attempt that receives nothing is checked for the first time after this.
 constexpr Duration progressCheckInterval = std::chrono::milliseconds(600);
-// Servers of the region accept within milliseconds, another region within 160 ms.
+// Servers in the same region accept a connection within milliseconds, another region within 160 ms.
 constexpr Duration connectTimeout = std::chrono::milliseconds(500);
 constexpr Duration capacityRetryInterval = std::chrono::milliseconds(150);
 // A datagram to an instance in the same region takes about 4 ms.
@@ -44,9 +44,9 @@
 {
 }
 
-void Dispatch::trace(std::string what)
+void Dispatch::trace(std::string description)
 {
-    addTraceStep(*m_exchange, m_state.clock, std::move(what));
+    addTraceStep(*m_exchange, m_state.clock, std::move(description));
 }
 
 Duration Dispatch::remaining() const
@@ -54,10 +54,10 @@
     return m_exchange->deadline - m_state.clock.now();
 }
 
-std::string Dispatch::servedBy(const Headers &answer) const
+std::string Dispatch::servedBy(const Headers &response) const
 {
     // A peer reports the instances and the server that handled the request after it.
-    return m_state.settings.name + "/" + answer.get("X-Served-By").value_or(m_servedBy);
+    return m_state.settings.name + "/" + response.get("X-Served-By").value_or(m_servedBy);
 }
 
 void Dispatch::start()
@@ -112,7 +112,7 @@
 }
 
 // A stream that is rejected after it has started is lost as a whole, while slots and retries become
-// available within tenths of a second. Callers that don't wait for that disconnect.
+// available within tenths of a second. A caller that doesn't want to wait disconnects.
 bool Dispatch::mayWaitForCapacity() const
 {
     const bool mayContinue
@@ -139,17 +139,17 @@
     return true;
 }
 
-bool Dispatch::waitForRetry(AttemptOutcome end)
+bool Dispatch::waitForRetry(AttemptOutcome outcome)
 {
-    const RetryInput input = retryQuestion(end, m_runs, false);
-    if (!certainlyNotRun(end) || decideRetry(input) != RetryDecision::retry
+    const RetryInput input = retryInput(outcome, m_runs, false);
+    if (!certainlyNotRun(outcome) || decideRetry(input) != RetryDecision::retry
         || !mayWaitForCapacity())
         return false;
-    runAfterCapacityPause([self = shared_from_this(), end] {
-        if (self->tryAgain(end, false))
+    runAfterCapacityPause([self = shared_from_this(), outcome] {
+        if (self->tryAcquireRetry(outcome, false))
             self->route();
-        else if (!self->waitForRetry(end))
-            self->abortStream(end);
+        else if (!self->waitForRetry(outcome))
+            self->abortStream(outcome);
     });
     return true;
 }
@@ -171,9 +171,9 @@
     limits.total = remaining();
     // An idempotent request doesn't use all its time on a connection that may be broken. A booking
     // that may have run must not be sent again, so it waits.
-    const bool moveOn = m_exchange->service->idempotent && !target.isPeer;
-    limits.firstByte = moveOn ? std::min(progressCheckInterval, limits.total) : limits.total;
-    limits.idle = moveOn ? progressCheckInterval : limits.total;
+    const bool canMove = m_exchange->service->idempotent && !target.isPeer;
+    limits.firstByte = canMove ? std::min(progressCheckInterval, limits.total) : limits.total;
+    limits.idle = canMove ? progressCheckInterval : limits.total;
     return limits;
 }
 
@@ -190,9 +190,9 @@
     const bool unresponsive = isUnresponsive(*target.counters, now);
     const bool canResume = !m_exchange->lastEventId.empty() || !reader.lastEventId().empty();
     const bool mayMove = !m_isQuarantineTrial
-        && decideRetry(retryQuestion(AttemptOutcome::silent, m_runs + 1, hasStarted && !canResume))
+        && decideRetry(retryInput(AttemptOutcome::silent, m_runs + 1, hasStarted && !canResume))
             == RetryDecision::retry
-        && m_state.retryBudget.canAcquire(m_exchange->customer->name, loadName(*m_exchange));
+        && m_state.retryBudget.canAcquire(m_exchange->customer->name, loadKey(*m_exchange));
     // The request cannot be sent elsewhere, so it would certainly fail if this attempt ended. A
     // server that responds to other requests may still respond to this one.
     if (!mayMove)
@@ -226,7 +226,7 @@
     return hasLocalCapacity
         || (mayUseRemote
             && std::any_of(allowed.begin(), allowed.end(), [&](const std::string &region) {
-                   const auto load = m_state.regionLoads.find(region, loadName(*m_exchange),
+                   const auto load = m_state.regionLoads.find(region, loadKey(*m_exchange),
                                                               m_state.clock.now());
                    return load && load->outstanding < maxUtilization * load->slots;
                }));
@@ -246,7 +246,7 @@
     path.push_back(m_state.hop());
     request.headers.add(std::string(forwardPathHeader), formatForwardPath(path));
     request.headers.add(std::string(previousRunsHeader),
-                        std::to_string(exchange.earlierRuns + m_runs));
+                        std::to_string(exchange.previousRuns + m_runs));
     const bool holdsRight = m_sendRight == SendRight::claim || m_sendRight == SendRight::issuedKey;
     if (holdsRight || exchange.sendRightAcquired)
         request.headers.add("X-Ibisnotch-Cleared-By", m_state.settings.name);
@@ -272,7 +272,7 @@
     noteFirstToken(*target.counters,
                    {tokensToRead(), waiting, m_state.clock.now() - m_attemptStartedAt,
                     m_routeInputs.tokensPerMs});
-    m_state.promptLengths.onPrompt(loadName(*m_exchange), tokensToRead());
+    m_state.promptLengths.onPrompt(loadKey(*m_exchange), tokensToRead());
     removeAwaitedFirstToken(target);
 }
 
@@ -294,15 +294,15 @@
                                      m_state.clock.now());
 }
 
-void Dispatch::writeToCaller(const HttpResponse &answer, std::string data)
+void Dispatch::writeToCaller(const HttpResponse &response, std::string data)
 {
     if (!m_streamStarted) {
         m_streamStarted = true;
         m_firstByteAt = m_state.clock.now();
-        m_exchange->responder->start(answer.status,
+        m_exchange->responder->start(response.status,
                                      m_protocol.makeResponseHeaders(*m_exchange, ResultCode::served,
-                                                                    answer.headers,
-                                                                    servedBy(answer.headers)));
+                                                                    response.headers,
+                                                                    servedBy(response.headers)));
     }
     m_exchange->responder->write(std::move(data));
 }
@@ -323,11 +323,11 @@
     m_servedBy = target.name;
     if (target.isPeer && target.region != m_state.settings.region) {
         m_forwardedToRegion = true;
-        m_state.regionLoads.onForwarded(target.region, loadName(*m_exchange));
+        m_state.regionLoads.onForwarded(target.region, loadKey(*m_exchange));
     }
     if (target.counters) {
         if (m_attempts == 1)
-            m_state.retryBudget.onRequest(m_exchange->customer->name, loadName(*m_exchange),
+            m_state.retryBudget.onRequest(m_exchange->customer->name, loadKey(*m_exchange),
                                           m_exchange->config().limits.retryShare);
         target.counters->trialInProgress = target.trial;
         m_recoveryEpoch = recordSent(*target.counters, m_attemptStartedAt);
@@ -342,30 +342,32 @@
     m_client.send(makeRequest(target), std::move(attempt));
 }
 
-void Dispatch::recordAttempt(const Target &target, AttemptOutcome end)
+void Dispatch::recordAttempt(const Target &target, AttemptOutcome outcome)
 {
-    m_state.metrics.onAttempt(attemptOutcomeName(end));
-    trace(fmt::format("attempt {} at {}: {}", m_attempts, target.name, attemptOutcomeName(end)));
+    m_state.metrics.onAttempt(attemptOutcomeName(outcome));
+    trace(
+        fmt::format("attempt {} at {}: {}", m_attempts, target.name, attemptOutcomeName(outcome)));
     if (target.isPeer) {
         if (target.region != m_state.settings.region)
-            m_state.regionLoads.onForwardedFinished(target.region, loadName(*m_exchange));
+            m_state.regionLoads.onForwardedFinished(target.region, loadKey(*m_exchange));
         return;
     }
-    const Duration taken = m_state.clock.now() - m_attemptStartedAt;
-    m_cost += target.cost * std::chrono::duration<double>(taken).count();
+    const Duration duration = m_state.clock.now() - m_attemptStartedAt;
+    m_cost += target.cost * std::chrono::duration<double>(duration).count();
     removeAwaitedFirstToken(target);
     recordFinished(*target.counters, m_recoveryEpoch, std::exchange(m_streamRecorded, false));
     --target.counters->inFlight;
     ++target.counters->endedSinceReport;
-    const bool refused = end == AttemptOutcome::refusedNotRun || end == AttemptOutcome::rejected;
-    const bool failed = end != AttemptOutcome::answered && !refused;
-    if (end == AttemptOutcome::callerLeft)
+    const bool refused
+        = outcome == AttemptOutcome::refusedNotRun || outcome == AttemptOutcome::rejected;
+    const bool failed = outcome != AttemptOutcome::answered && !refused;
+    if (outcome == AttemptOutcome::callerLeft)
         return;
     AttemptHealth health = failed ? AttemptHealth::failed : AttemptHealth::good;
-    if (end == AttemptOutcome::notConnected || end == AttemptOutcome::otherServer)
+    if (outcome == AttemptOutcome::notConnected || outcome == AttemptOutcome::otherServer)
         health = AttemptHealth::notConnected;
-    // A whole failure answer shows a server that runs; what it says of the request is its own.
-    if (end == AttemptOutcome::serverError && m_protocol.passesServerErrors())
+    // A complete error response shows that the server works; the error concerns the request only.
+    if (outcome == AttemptOutcome::serverError && m_protocol.passesServerErrors())
         health = AttemptHealth::good;
     m_state.servers.onAttempt(target.name, health, m_state.clock.now());
     if (failed) {
@@ -374,62 +376,65 @@
                 {{"request", m_exchange->id},
                  {"customer", m_exchange->customer->name},
                  {"server", target.name},
-                 {"end", std::string(attemptOutcomeName(end))},
+                 {"end", std::string(attemptOutcomeName(outcome))},
                  {"ms", millisecondsText(m_state.clock.now() - m_attemptStartedAt)}});
     }
 }
 
-void Dispatch::onAttemptEnd(const Target &target, AttemptOutcome end, Attempt &attempt)
+void Dispatch::onAttemptFinished(const Target &target, AttemptOutcome outcome, Attempt &attempt)
 {
     // The caller already has part of a stream, which a response of another kind cannot continue.
-    if (end == AttemptOutcome::answered && m_streamStarted && !attempt.reader().isStreaming())
-        end = AttemptOutcome::serverError;
-    recordAttempt(target, end);
-    m_runs += certainlyNotRun(end) ? 0 : 1;
+    if (outcome == AttemptOutcome::answered && m_streamStarted && !attempt.reader().isStreaming())
+        outcome = AttemptOutcome::serverError;
+    recordAttempt(target, outcome);
+    m_runs += certainlyNotRun(outcome) ? 0 : 1;
     if (const std::string last = attempt.reader().lastEventId(); !last.empty())
         m_exchange->lastEventId = last;
-    if (end == AttemptOutcome::serverError && m_protocol.passesServerErrors() && !m_streamStarted)
-        m_serverError = attempt.answer();
-    m_mayHaveRun = m_mayHaveRun || (!certainlyNotRun(end) && end != AttemptOutcome::answered);
+    if (outcome == AttemptOutcome::serverError && m_protocol.passesServerErrors()
+        && !m_streamStarted)
+        m_serverError = attempt.response();
+    m_mayHaveRun
+        = m_mayHaveRun || (!certainlyNotRun(outcome) && outcome != AttemptOutcome::answered);
     if (m_isQuarantineTrial) {
         const std::lock_guard lock(m_state.quarantineMutex);
         m_state.quarantine.onTrialFinished(m_exchange->fingerprint);
     }
-    if (!target.isPeer && end == AttemptOutcome::connectionLost
+    if (!target.isPeer && outcome == AttemptOutcome::connectionLost
         && !m_exchange->responder->isClosed())
-        onServerLost(target);
-    if (end == AttemptOutcome::answered && isRejectedByRemoteRegion(target, attempt)) {
+        onSuspectedCrash(target);
+    if (outcome == AttemptOutcome::answered && isRejectedByRemoteRegion(target, attempt)) {
         returnToLocalRegion();
         return route();
     }
-    const bool wholeStream = end == AttemptOutcome::answered && attempt.reader().eventCount() > 0;
-    if (wholeStream && !target.isPeer && m_attempts == 1)
+    const bool completeStream
+        = outcome == AttemptOutcome::answered && attempt.reader().eventCount() > 0;
+    if (completeStream && !target.isPeer && m_attempts == 1)
         m_state.streamStatistics.onEnded(*m_exchange->service, m_exchange->priority,
-                                         loadName(*m_exchange), attempt.reader().eventCount(),
+                                         loadKey(*m_exchange), attempt.reader().eventCount(),
                                          m_state.clock.now());
-    if (end == AttemptOutcome::answered)
+    if (outcome == AttemptOutcome::answered)
         return deliver(attempt);
     const bool mayResume = m_exchange->service->isResumable && !m_exchange->lastEventId.empty();
-    if (tryAgain(end, m_streamStarted && !mayResume))
-        return routeAgain(end);
-    if (waitForRetry(end))
+    if (tryAcquireRetry(outcome, m_streamStarted && !mayResume))
+        return routeRetry(outcome);
+    if (waitForRetry(outcome))
         return;
     if (m_streamStarted)
-        return abortStream(end);
-    failRequest(end);
+        return abortStream(outcome);
+    failRequest(outcome);
 }
 
 // A server that cannot be reached may just have crashed on a copy of this request that came through
 // another instance. The next attempt is delayed until the crash mark arrives, which it checks;
 // otherwise this copy could crash a third server.
-void Dispatch::routeAgain(AttemptOutcome end)
+void Dispatch::routeRetry(AttemptOutcome outcome)
 {
-    if (end != AttemptOutcome::notConnected)
+    if (outcome != AttemptOutcome::notConnected)
         return route();
     m_client.postAfter(crashMarkDelay, [self = shared_from_this()] { self->route(); });
 }
 
-void Dispatch::onServerLost(const Target &target)
+void Dispatch::onSuspectedCrash(const Target &target)
 {
     CrashMark mark;
     {
@@ -470,44 +475,44 @@
     });
 }
 
-RetryInput Dispatch::retryQuestion(AttemptOutcome end, int runs, bool callerHasSeenBytes) const
+RetryInput Dispatch::retryInput(AttemptOutcome outcome, int runs, bool callerHasSeenBytes) const
 {
     RetryInput input;
-    input.outcome = end;
+    input.outcome = outcome;
     input.idempotent = m_exchange->service->idempotent;
     input.callerHasSeenBytes = callerHasSeenBytes;
     // Once a stream has started, attempts that were refused don't count, so that other servers can
     // be tried.
     input.attemptsMade = m_streamStarted ? runs : m_attempts;
-    input.runsMade = m_exchange->earlierRuns + runs;
+    input.runsMade = m_exchange->previousRuns + runs;
     input.maxRuns = m_exchange->service->maxAttempts;
     input.remaining = remaining();
     input.expected = m_exchange->service->expectedDuration;
     return input;
 }
 
-bool Dispatch::tryAgain(AttemptOutcome end, bool callerHasSeenBytes)
+bool Dispatch::tryAcquireRetry(AttemptOutcome outcome, bool callerHasSeenBytes)
 {
-    const RetryInput input = retryQuestion(end, m_runs, callerHasSeenBytes);
+    const RetryInput input = retryInput(outcome, m_runs, callerHasSeenBytes);
     if (decideRetry(input) != RetryDecision::retry || m_exchange->responder->isClosed())
         return false;
     // Only the instance that sends to backend servers retries an attempt that may have run. An
     // instance that forwarded the request retries only if it certainly did not run; otherwise the
     // retries of both instances would multiply.
     const bool forwarded = m_forwardedToRegion;
-    if (forwarded && !certainlyNotRun(end))
+    if (forwarded && !certainlyNotRun(outcome))
         return false;
     // The quarantine trial of a request is one attempt on one server, even if that server has
     // crashed. A server that refused the request works and has not run it.
-    if (m_isQuarantineTrial && end != AttemptOutcome::refusedNotRun)
+    if (m_isQuarantineTrial && outcome != AttemptOutcome::refusedNotRun)
         return false;
     // Only the instance that issued the key may send its booking.
     if (m_forwardedToIssuer)
         return false;
     // An attempt without a connection caused no load on a backend server and needs no retry budget.
-    const bool costsNothing = end == AttemptOutcome::notConnected;
-    if (!costsNothing
-        && !m_state.retryBudget.tryAcquire(m_exchange->customer->name, loadName(*m_exchange))) {
+    const bool causedNoLoad = outcome == AttemptOutcome::notConnected;
+    if (!causedNoLoad
+        && !m_state.retryBudget.tryAcquire(m_exchange->customer->name, loadKey(*m_exchange))) {
         trace("no retry: retry budget exhausted");
         return false;
     }
--- a/src/entry/dispatch.h
+++ b/src/entry/dispatch.h
@@ -31,7 +31,7 @@
     RegionLoad localLoad;
     std::optional<RegionLoad> remoteLoad; // of the chosen region, if it is another one
     double maxEventIntervalSeconds = 0; // highest acceptable between stream events; 0 if unknown
-    double serverLoad = 0; // of the chosen server, including what it has not yet reported
+    double serverLoad = 0; // of the chosen server, including description it has not yet reported
     double serverSlots = 0; // of the chosen server; 0 if none was chosen
     double serverDelay = 0; // seconds until the chosen server starts to read a prompt sent now
     double tokensPerMs = 0; // prompt tokens that servers of its pool read per ms; 0 if unknown
@@ -61,7 +61,7 @@
     void forwardToIssuer(const IssuedKey &key);
     void claimCallerKey(const CallerKey &key);
     void onClaim(const ClaimResult &result);
-    void settleDone(int status, const std::string &answer);
+    void settleDone(int status, const std::string &responseBody);
     void settleNotRun();
     void settleUnknown();
 
@@ -85,7 +85,7 @@
     bool maySendWhileCold(const RoutingTable &table, const ServerView &view) const;
     std::optional<Duration> warmupIntervalOf(const RoutingTable &table,
                                              const ServerView &view) const;
-    AdmissionInput admissionQuestion(const RegionLoad &load, bool isRemote) const;
+    AdmissionInput admissionInput(const RegionLoad &load, bool isRemote) const;
     Plan planRemote(const std::string &region);
     Plan pickServer(const RoutingTable &table);
     static Target peerTarget(const Member &member);
@@ -96,7 +96,7 @@
     // Schedule another attempt for a stream that has started and has to be resumed, if no server
     // accepts it now or no retry is left. Return true if there will be one.
     bool waitForCapacity(const Refusal &refusal);
-    bool waitForRetry(AttemptOutcome end);
+    bool waitForRetry(AttemptOutcome outcome);
     bool mayWaitForCapacity() const;
     void runAfterCapacityPause(std::function<void()> next);
     void send(const Target &target);
@@ -104,7 +104,7 @@
     OutgoingRequest makeRequest(const Target &target) const;
     // Called by the current attempt.
     void onServerResponse(const Target &target, const ResponseReader &reader);
-    void writeToCaller(const HttpResponse &answer, std::string data);
+    void writeToCaller(const HttpResponse &response, std::string data);
     void onCallerLeft();
     // Returns the prompt tokens that the server has to read if it has the shared ones cached.
     std::int64_t tokensToRead() const;
@@ -116,29 +116,29 @@
     bool hasCapacityElsewhere(double maxUtilization) const;
     void removeAwaitedFirstToken(const Target &target);
     TransferLimits limitsFor(const Target &target) const;
-    void onAttemptEnd(const Target &target, AttemptOutcome end, Attempt &attempt);
-    void routeAgain(AttemptOutcome end);
-    void recordAttempt(const Target &target, AttemptOutcome end);
-    void onServerLost(const Target &target);
+    void onAttemptFinished(const Target &target, AttemptOutcome outcome, Attempt &attempt);
+    void routeRetry(AttemptOutcome outcome);
+    void recordAttempt(const Target &target, AttemptOutcome outcome);
+    void onSuspectedCrash(const Target &target);
     void checkServerAlive(const Target &target);
-    RetryInput retryQuestion(AttemptOutcome end, int runs, bool callerHasSeenBytes) const;
-    bool tryAgain(AttemptOutcome end, bool callerHasSeenBytes);
+    RetryInput retryInput(AttemptOutcome outcome, int runs, bool callerHasSeenBytes) const;
+    bool tryAcquireRetry(AttemptOutcome outcome, bool callerHasSeenBytes);
     bool isRejectedByRemoteRegion(const Target &target, const Attempt &attempt) const;
     void returnToLocalRegion();
     void deliver(Attempt &attempt);
-    void reply(HttpResponse answer, ResultCode code);
-    void abortStream(AttemptOutcome end);
+    void reply(HttpResponse response, ResultCode code);
+    void abortStream(AttemptOutcome outcome);
 
     // End of the request.
-    void failRequest(AttemptOutcome end);
+    void failRequest(AttemptOutcome outcome);
     void refuse(const Refusal &refusal);
     void finish(ResultCode code);
 
     void logFinished(ResultCode code, bool good) const;
     std::string routeInputsText() const;
-    void trace(std::string what);
+    void trace(std::string description);
     Duration remaining() const;
-    std::string servedBy(const Headers &answer) const;
+    std::string servedBy(const Headers &response) const;
 
     EntryState &m_state;
     Control &m_control;
--- a/src/entry/exchange.h
+++ b/src/entry/exchange.h
@@ -59,7 +59,7 @@
     const Service *service = nullptr; // points into the table's configuration
     std::string apiKey; // as sent by the caller
     std::optional<std::string> forwardedCustomer; // name of the customer, as sent by a peer
-    int earlierRuns = 0; // attempts of peers that may have run before they forwarded the request
+    int previousRuns = 0; // attempts of peers that may have run before they forwarded the request
     std::string host; // the Host header, for services selected by host and path
     std::optional<Duration> callerTimeout; // the timeout that the caller requested
     Prompt prompt;
@@ -86,7 +86,7 @@
 
 // Returns the name under which load and retry budgets are counted: the pool, or the service if it
 // has no pools.
-inline const std::string &loadName(const Exchange &exchange)
+inline const std::string &loadKey(const Exchange &exchange)
 {
     return exchange.pool.empty() ? exchange.service->name : exchange.pool;
 }
--- a/src/entry/filters.cc
+++ b/src/entry/filters.cc
@@ -37,7 +37,7 @@
             return Refusal{resultCodeOf(checked), std::string(checked.message()), {}};
         exchange.path = *path;
         const std::string runs = exchange.request.headers.get(previousRunsHeader).value_or("0");
-        if (!absl::SimpleAtoi(runs, &exchange.earlierRuns) || exchange.earlierRuns < 0)
+        if (!absl::SimpleAtoi(runs, &exchange.previousRuns) || exchange.previousRuns < 0)
             return Refusal{ResultCode::malformedRequest, std::string(previousRunsHeader), {}};
         return std::nullopt;
     }
@@ -339,8 +339,8 @@
 // refusal is then temporary, because a caller doesn't retry after a permanent one.
 Refusal unknownCustomerRefusal(EntryState &state, const Exchange &exchange)
 {
-    const bool mayBeOld = state.clock.now() > state.configValidUntil.load();
-    if (exchange.fromPeer || mayBeOld)
+    const bool mayBeOutdated = state.clock.now() > state.configValidUntil.load();
+    if (exchange.fromPeer || mayBeOutdated)
         return {ResultCode::configBehind, "", jitteredRetryAfter(1, state.random)};
     return {ResultCode::unknownCustomer, "unknown key", {}};
 }
--- a/src/entry/gateway.cc
+++ b/src/entry/gateway.cc
@@ -29,7 +29,7 @@
         if (m_services.protocol.needsBackendServer(request, m_forPeers))
             serve(std::move(request), std::move(responder));
         else
-            responder->reply(m_pages.answer(request));
+            responder->reply(m_pages.respond(request));
     } catch (const std::exception &error) {
         logLine(LogPart::entry, LogLevel::error, "Request handler threw an exception.",
                 {{"error", error.what()}});
--- a/src/entry/gateway.h
+++ b/src/entry/gateway.h
@@ -18,7 +18,7 @@
 {
 public:
     virtual ~PageHandler() = default;
-    virtual HttpResponse answer(const HttpRequest &request) = 0;
+    virtual HttpResponse respond(const HttpRequest &request) = 0;
 };
 
 // Serves pages, and checks and dispatches requests. An instance has one gateway for the callers'
--- a/src/entry/instance.cc
+++ b/src/entry/instance.cc
@@ -26,7 +26,7 @@
 
     void handle(HttpRequest request, std::shared_ptr<Responder> responder) override
     {
-        responder->reply(m_pages->answer(request));
+        responder->reply(m_pages->respond(request));
     }
 
 private:
--- a/src/entry/protocol.h
+++ b/src/entry/protocol.h
@@ -51,7 +51,7 @@
     virtual std::optional<AttemptOutcome> onData(std::string_view data, std::string &out) = 0;
 
     // Returns how the attempt ended. Called after the last byte of a complete transfer.
-    virtual AttemptOutcome attemptEnd() const = 0;
+    virtual AttemptOutcome outcome() const = 0;
 
     // Returns true if data goes to the caller as it arrives. Known after onHead().
     virtual bool isStreaming() const = 0;
--- a/src/entry/silent-server-monitor.cc
+++ b/src/entry/silent-server-monitor.cc
@@ -55,27 +55,27 @@
 
 std::vector<SilenceUpdate> SilentServerMonitor::tick()
 {
-    std::vector<SilenceUpdate> news;
+    std::vector<SilenceUpdate> updates;
     const TimePoint now = m_state.clock.now();
     const auto table = m_state.routing.read();
     if (isAfterStall(now) || !table)
-        return news;
-    removeEnded(*table, news);
+        return updates;
+    removeEnded(*table, updates);
     const bool receivesAnything
         = std::any_of(table->servers.begin(), table->servers.end(), [&](const ServerView &view) {
               return receivedWithin(*view.counters, instanceCutOffAfter, now);
           });
     if (!receivesAnything)
-        return news;
+        return updates;
     for (const ServerView &view : table->servers) {
         if (!inUse(view) || m_silent.count(view.server.name) > 0)
             continue;
         if (!isSilent(*view.counters, now))
             continue;
         markSilent(view, "own");
-        news.push_back({serverId(view.server.name), true});
+        updates.push_back({serverId(view.server.name), true});
     }
-    return news;
+    return updates;
 }
 
 void SilentServerMonitor::markSilent(const ServerView &view, std::string_view source)
@@ -109,7 +109,8 @@
 }
 
 // Removes servers that are no longer in the table, and restores those that have sent data since.
-void SilentServerMonitor::removeEnded(const RoutingTable &table, std::vector<SilenceUpdate> &news)
+void SilentServerMonitor::removeEnded(const RoutingTable &table,
+                                      std::vector<SilenceUpdate> &updates)
 {
     std::vector<std::string> responding;
     std::erase_if(m_silent, [&](const auto &entry) {
@@ -122,25 +123,25 @@
     });
     for (const std::string &name : responding) {
         restore(name, "own");
-        news.push_back({serverId(name), false});
+        updates.push_back({serverId(name), false});
     }
 }
 
-void SilentServerMonitor::onUpdate(const SilenceUpdate &news)
+void SilentServerMonitor::onUpdate(const SilenceUpdate &update)
 {
     const TimePoint now = m_state.clock.now();
     const auto table = m_state.routing.read();
     if (!table)
         return;
     for (const ServerView &view : table->servers) {
-        if (serverId(view.server.name) != news.server)
+        if (serverId(view.server.name) != update.server)
             continue;
         const bool known = m_silent.count(view.server.name) > 0;
-        if (!news.silent && known)
+        if (!update.silent && known)
             return restoreWithoutResponse(view, "peer");
         // What this instance received itself takes precedence: the server may be unreachable from
         // the other instance only.
-        if (news.silent && !known && !receivedWithin(*view.counters, instanceCutOffAfter, now))
+        if (update.silent && !known && !receivedWithin(*view.counters, instanceCutOffAfter, now))
             markSilent(view, "peer");
         return;
     }
--- a/src/entry/silent-server-monitor.h
+++ b/src/entry/silent-server-monitor.h
@@ -22,7 +22,7 @@
     // other instances.
     std::vector<SilenceUpdate> tick();
     // Applies an update from another instance of the region.
-    void onUpdate(const SilenceUpdate &news);
+    void onUpdate(const SilenceUpdate &update);
 
     // Returns the silent servers that need a status check now. One is made before the requests
     // running there are aborted.
@@ -49,7 +49,7 @@
     void markSilent(const ServerView &view, std::string_view source);
     void restoreWithoutResponse(const ServerView &view, std::string_view source);
     void restore(const std::string &name, std::string_view source);
-    void removeEnded(const RoutingTable &table, std::vector<SilenceUpdate> &news);
+    void removeEnded(const RoutingTable &table, std::vector<SilenceUpdate> &updates);
 
     EntryState &m_state;
     const Protocol &m_protocol;
