--- a/test/answers-fleet-test.cc
+++ b/test/answers-fleet-test.cc
@@ -1,4 +1,4 @@
-// Whole answers, true refusals and bad input on real processes.
+// Complete responses, correct refusals and invalid input through real processes.
 #include <csignal>
 #include <future>
 #include <set>
@@ -26,7 +26,7 @@
     return static_cast<int>(result);
 }
 
-std::string wholeText(int tokens)
+std::string expectedText(int tokens)
 {
     std::string text;
     for (int i = 0; i < tokens; ++i)
@@ -34,7 +34,7 @@
     return text;
 }
 
-// The text of a streamed answer, and whether it was closed by "[DONE]".
+// Returns the text of a streamed response. Sets `done` if the stream ended with "[DONE]".
 std::string streamedText(const std::string &body, bool &done)
 {
     std::string text;
@@ -51,7 +51,7 @@
     return text;
 }
 
-struct AnswersFixture
+struct ResponsesFixture
 {
     Fleet fleet{FleetShape{.regions = 1, .instances = 2, .models = 3}};
 
@@ -62,7 +62,7 @@
         fleet.waitReady(entry);
     }
 
-    void allModels(const std::string &mode)
+    void setFaultOfAllModels(const std::string &mode)
     {
         for (const char *name : {"a-m1", "a-m2", "a-m3"})
             fleet.setFault(name, mode);
@@ -79,14 +79,15 @@
 
 } // namespace
 
-TEST_CASE_METHOD(AnswersFixture, "response_ofAHealthyEngine_isCompleteAndIdentified")
+TEST_CASE_METHOD(ResponsesFixture, "response_ofAHealthyEngine_isCompleteAndIdentified")
 {
     bool done = false;
     const Reply streamed = fleet.chat("a1", true, 12);
-    CHECK(streamedText(streamed.body, done) == wholeText(12));
+    CHECK(streamedText(streamed.body, done) == expectedText(12));
     CHECK(done);
     const Reply whole = fleet.chat("a2", false, 12);
-    CHECK(nlohmann::json::parse(whole.body)["choices"][0]["message"]["content"] == wholeText(12));
+    CHECK(nlohmann::json::parse(whole.body)["choices"][0]["message"]["content"]
+          == expectedText(12));
     for (const Reply &reply : {streamed, whole}) {
         CHECK(reply.code == code(ResultCode::served));
         CHECK(reply.runState == "run");
@@ -103,10 +104,10 @@
     CHECK(metrics.find("ibisnotch_cost_total" + labels + "} 0.000000") == std::string::npos);
 }
 
-// What the caller sees: its whole answer. In what order: one engine hangs, crosses answers, cuts
-// them, closes, refuses or fails. Why: nothing is passed on before it is known to be ours, so the
-// request can go to another engine.
-TEST_CASE_METHOD(AnswersFixture, "response_oneFaultyEngine_comesCompleteFromAnother")
+// Guards against one faulty engine affecting callers. It hangs, mixes up or truncates responses,
+// closes the connection, refuses or fails. Nothing is sent to the caller before the response is
+// checked, so the request can be retried at another engine.
+TEST_CASE_METHOD(ResponsesFixture, "response_oneFaultyEngine_comesCompleteFromAnother")
 {
     for (const char *mode : {"hang", "cross", "truncate", "drop", "refuse", "error"}) {
         INFO(mode);
@@ -115,34 +116,34 @@
             const Reply reply = fleet.chat("a1", false, 6, std::string(mode) + std::to_string(i));
             CHECK(reply.code == code(ResultCode::served));
             CHECK(nlohmann::json::parse(reply.body)["choices"][0]["message"]["content"]
-                  == wholeText(6));
+                  == expectedText(6));
         }
         fleet.setFault("a-m1", "none");
-        // Budget and ejections start afresh for the next kind of failure.
+        // Resets the retry budget and the ejections for the next kind of failure.
         restart("a1");
     }
 }
 
-// What the caller sees: never a short or foreign answer that looks whole. In what order: all
-// engines fail in the same way, some after the first tokens were passed on. Why: a stream that was
-// cut ends with an error event and without the last chunk.
-TEST_CASE_METHOD(AnswersFixture, "response_allEnginesFaulty_neverLooksComplete")
+// Guards against truncated responses, or responses to other requests, that look complete. All
+// engines fail in the same way, some after the first tokens were sent to the caller. An aborted
+// stream ends with an error event and without the last chunk.
+TEST_CASE_METHOD(ResponsesFixture, "response_allEnginesFaulty_neverLooksComplete")
 {
     for (const char *mode : {"cross", "truncate", "drop", "silent", "error"}) {
-        // A fresh instance: one that had ejected all engines by now would refuse, truly, with "not
-        // run", and nothing of this failure would be tried.
+        // An instance that has ejected all engines would correctly refuse with "not run" and not
+        // test this kind of failure, so it is restarted.
         restart("a2");
-        allModels(mode);
+        setFaultOfAllModels(mode);
         for (const bool stream : {true, false}) {
             INFO(mode << (stream ? " streamed" : " whole"));
             if (std::string(mode) == "silent" && !stream)
-                continue; // a whole answer has no middle to go silent in
+                continue; // only a stream can stop half way
             const Reply reply
                 = fleet.chat("a2", stream, 6, std::string(mode) + (stream ? "s" : "w"));
             bool done = false;
             const std::string text = streamedText(reply.body, done);
             CHECK_FALSE(done);
-            CHECK(wholeText(6).rfind(text, 0) == 0);
+            CHECK(expectedText(6).rfind(text, 0) == 0);
             if (reply.isComplete) {
                 CHECK(reply.status >= 400);
                 CHECK(reply.runState == "unknown");
@@ -153,54 +154,54 @@
     }
 }
 
-TEST_CASE_METHOD(AnswersFixture, "refusal_allEnginesRefuse_reportsNotRunAndRetryAfter")
+TEST_CASE_METHOD(ResponsesFixture, "refusal_allEnginesRefuse_reportsNotRunAndRetryAfter")
 {
-    allModels("refuse");
+    setFaultOfAllModels("refuse");
     const Reply reply = fleet.chat("a1", false);
     CHECK(reply.runState == "not run");
     CHECK(reply.retryAfter > 0);
 }
 
-// What the caller sees: "unknown", not "not run". In what order: the first engine takes the request
-// and breaks off, the others refuse it. Why: a refusal is true of the whole request or not given.
-TEST_CASE_METHOD(AnswersFixture, "refusal_afterAnAttemptThatMayHaveRun_neverReportsNotRun")
+// Guards against a refusal that is only true of the last attempt. The first engine accepts the
+// request and closes the connection, the others refuse it, so the run state is "unknown".
+TEST_CASE_METHOD(ResponsesFixture, "refusal_afterAnAttemptThatMayHaveRun_neverReportsNotRun")
 {
-    allModels("refuse");
+    setFaultOfAllModels("refuse");
     for (const char *name : {"a-m1", "a-m2", "a-m3"})
         fleet.setFault(name, "drop", 1);
     const Reply reply = fleet.chat("a1", false);
     CHECK(reply.runState == "unknown");
 }
 
-// The same with an engine that fails without being lost, so that the retry is no trial.
-TEST_CASE_METHOD(AnswersFixture, "refusal_ofARetryAfterAServerError_neverReportsNotRun")
+// The same with an engine that fails without closing the connection. No crash is suspected, so the
+// retry is not a quarantine trial.
+TEST_CASE_METHOD(ResponsesFixture, "refusal_ofARetryAfterAServerError_neverReportsNotRun")
 {
-    allModels("refuse");
+    setFaultOfAllModels("refuse");
     fleet.setFault("a-m1", "error");
-    int tried = 0;
+    int mayHaveRunCount = 0;
     for (int i = 0; i < 12; ++i) {
         const Reply reply = fleet.chat("a1", false, 6, "prompt " + std::to_string(i));
         OutgoingRequest request;
         request.url = "http://" + fleet.peers("a1") + "/admin/explain?id=" + reply.requestId;
         std::string steps;
-        // The answer is sent before its trace is kept.
+        // The response is sent before the trace is stored.
         eventually("the request is explained", [&] {
             const Reply explained = fleet.send(request);
             steps = explained.body;
             return explained.status == 200;
         });
         const bool mayHaveRun = steps.find("a-m1: server error") != std::string::npos;
-        tried += mayHaveRun ? 1 : 0;
+        mayHaveRunCount += mayHaveRun ? 1 : 0;
         CHECK(reply.runState == (mayHaveRun ? "unknown" : "not run"));
     }
-    CHECK(tried > 0);
+    CHECK(mayHaveRunCount > 0);
 }
 
-// What the caller sees: an answer at its deadline at the latest. Why: a request that is given up on
-// is answered at once.
-TEST_CASE_METHOD(AnswersFixture, "refusal_atTheDeadline_isSentAtOnce")
+// Guards against a response after the caller's deadline when no engine responds.
+TEST_CASE_METHOD(ResponsesFixture, "refusal_atTheDeadline_isSentAtOnce")
 {
-    allModels("hang");
+    setFaultOfAllModels("hang");
     OutgoingRequest request = fleet.chatRequest("a1", false, 6, "late", "free-token");
     request.headers.add("X-Request-Timeout-Ms", "700");
     const Reply reply = fleet.send(request);
@@ -208,7 +209,7 @@
     CHECK(reply.code == code(ResultCode::deadlineExceeded));
 }
 
-TEST_CASE_METHOD(AnswersFixture, "badInput_ofEachKind_hasItsResultCode")
+TEST_CASE_METHOD(ResponsesFixture, "badInput_ofEachKind_hasItsResultCode")
 {
     const auto send = [&](const std::string &path, const std::string &body, const Headers &headers,
                           const std::string &method = "POST") {
@@ -219,38 +220,40 @@
         request.body = body;
         return fleet.send(request).code;
     };
-    const Headers good{{"Authorization", "Bearer free-token"}};
-    Headers late = good;
-    late.add("X-Request-Deadline", "1000");
-    Headers odd = good;
-    odd.add("X-Request-Timeout-Ms", "soon");
-    Headers keyed = good;
-    keyed.add("Idempotency-Key", "42");
+    const Headers validHeaders{{"Authorization", "Bearer free-token"}};
+    Headers pastDeadline = validHeaders;
+    pastDeadline.add("X-Request-Deadline", "1000");
+    Headers invalidTimeout = validHeaders;
+    invalidTimeout.add("X-Request-Timeout-Ms", "soon");
+    Headers invalidKey = validHeaders;
+    invalidKey.add("Idempotency-Key", "42");
     const std::string chat = "/v1/chat/completions";
     const std::string body = "{\"model\":\"m\",\"messages\":[]}";
-    CHECK(send(chat, "{\"model\":", good) == code(ResultCode::malformedRequest));
-    CHECK(send(chat, "{\"model\":\"m\",\"messages\":[],\"stream\":3}", good)
+    CHECK(send(chat, "{\"model\":", validHeaders) == code(ResultCode::malformedRequest));
+    CHECK(send(chat, "{\"model\":\"m\",\"messages\":[],\"stream\":3}", validHeaders)
           == code(ResultCode::malformedRequest));
-    CHECK(send(chat, "\xff\xfe", good) == code(ResultCode::malformedRequest));
-    CHECK(send(chat, "{\"model\":\"x\",\"messages\":[]}", good) == code(ResultCode::unknownModel));
+    CHECK(send(chat, "\xff\xfe", validHeaders) == code(ResultCode::malformedRequest));
+    CHECK(send(chat, "{\"model\":\"x\",\"messages\":[]}", validHeaders)
+          == code(ResultCode::unknownModel));
     CHECK(send(chat, body, {}) == code(ResultCode::unknownCustomer));
     CHECK(send(chat, body, {{"Authorization", "Bearer wrong"}})
           == code(ResultCode::unknownCustomer));
-    CHECK(send(chat, std::string(2 << 20, ' '), good) == code(ResultCode::bodyTooLarge));
-    CHECK(send(chat, body, late) == code(ResultCode::deadlinePassed));
-    CHECK(send(chat, body, odd) == code(ResultCode::malformedRequest));
-    CHECK(send("/v1/services/order", "{}", good) == code(ResultCode::bookingKeyMissing));
-    CHECK(send("/v1/services/order", "{}", keyed) == code(ResultCode::bookingKeyForm));
-    CHECK(send("/v1/services/nothing", "{}", good) == code(ResultCode::unknownService));
-    CHECK(send("/v1/services/order", "", good, "GET") == code(ResultCode::malformedRequest));
-    CHECK(send("/nowhere", "", good) == code(ResultCode::noSuchPath));
-    CHECK(send("/admin/status", "", good, "GET") == code(ResultCode::noSuchPath));
+    CHECK(send(chat, std::string(2 << 20, ' '), validHeaders) == code(ResultCode::bodyTooLarge));
+    CHECK(send(chat, body, pastDeadline) == code(ResultCode::deadlinePassed));
+    CHECK(send(chat, body, invalidTimeout) == code(ResultCode::malformedRequest));
+    CHECK(send("/v1/services/order", "{}", validHeaders) == code(ResultCode::bookingKeyMissing));
+    CHECK(send("/v1/services/order", "{}", invalidKey) == code(ResultCode::bookingKeyForm));
+    CHECK(send("/v1/services/nothing", "{}", validHeaders) == code(ResultCode::unknownService));
+    CHECK(send("/v1/services/order", "", validHeaders, "GET")
+          == code(ResultCode::malformedRequest));
+    CHECK(send("/nowhere", "", validHeaders) == code(ResultCode::noSuchPath));
+    CHECK(send("/admin/status", "", validHeaders, "GET") == code(ResultCode::noSuchPath));
     CHECK(fleet.chat("a1", false).code == code(ResultCode::served));
 }
 
-// What other callers see: nothing. In what order: some callers send half a request, others open
-// connections and stay silent. Why: a connection that sends nothing holds no thread.
-TEST_CASE_METHOD(AnswersFixture, "badInput_incompleteAndIdleConnections_dontAffectOthers")
+// Guards against incomplete requests and idle connections that block other callers. A connection
+// without data must not occupy a thread.
+TEST_CASE_METHOD(ResponsesFixture, "badInput_incompleteAndIdleConnections_dontAffectOthers")
 {
     asio::io_context io;
     std::vector<asio::ip::tcp::socket> sockets;
@@ -265,27 +268,25 @@
     CHECK(fleet.chat("a1", true).code == code(ResultCode::served));
 }
 
-// What the caller sees: one error, then refusals wherever it sends; other callers see nothing. In
-// what order: a request ends the process of each engine that runs it, and its caller sends it
-// again through every instance. Why: crash marks are shared at once, and two is the limit.
-TEST_CASE_METHOD(AnswersFixture, "crashingRequest_sentToEveryInstance_crashesAtMostTwoEngines")
+// Guards against a request that crashes every engine that runs it, while its caller sends it again
+// through every instance. Instances share crash marks at once and quarantine the request after two.
+TEST_CASE_METHOD(ResponsesFixture, "crashingRequest_sentToEveryInstance_crashesAtMostTwoEngines")
 {
     for (int i = 0; i < 8; ++i) {
         const Reply reply = fleet.chat(i % 2 == 0 ? "a1" : "a2", false, 6, "crash-this-engine");
         CHECK(reply.code != code(ResultCode::served));
     }
-    int left = 0;
+    int running = 0;
     for (const char *name : {"a-m1", "a-m2", "a-m3"})
-        left += fleet.isRunning(name) ? 1 : 0;
-    CHECK(left >= 1);
+        running += fleet.isRunning(name) ? 1 : 0;
+    CHECK(running >= 1);
     CHECK(fleet.chat("a1", false, 6, "a sound request").code == code(ResultCode::served));
     CHECK(fleet.chat("a2", false, 6, "crash-this-engine").code == code(ResultCode::quarantined));
 }
 
-// What the caller sees: as above. In what order: the same, but each engine that was lost is running
-// again at once, so that it looks as if it had never gone. Why: an engine that answers again clears
-// the request only if it is the same run of it.
-TEST_CASE_METHOD(AnswersFixture, "crashingRequest_enginesRestartAtOnce_causesAtMostTwoCrashes")
+// The same with engines that are restarted at once. An engine that responds again clears the
+// request only if its process is still the same.
+TEST_CASE_METHOD(ResponsesFixture, "crashingRequest_enginesRestartAtOnce_causesAtMostTwoCrashes")
 {
     int crashes = 0;
     for (int i = 0; i < 5; ++i) {
@@ -302,10 +303,9 @@
     CHECK(crashes <= 2);
 }
 
-// What callers see: errors for the copies, answers for all else. In what order: copies of one such
-// request arrive at both instances at the same moment. Why: copies share a prefix, so they meet on
-// the same engine; then the marks of both instances name it.
-TEST_CASE_METHOD(AnswersFixture, "crashingRequest_simultaneousCopies_crashAtMostTwoEngines")
+// Guards against copies of a crashing request that arrive at both instances at the same time. They
+// share a prefix, so they go to the same engine, and the crash marks of both instances name it.
+TEST_CASE_METHOD(ResponsesFixture, "crashingRequest_simultaneousCopies_crashAtMostTwoEngines")
 {
     std::vector<std::future<Reply>> copies;
     for (int i = 0; i < 6; ++i)
@@ -314,46 +314,46 @@
         }));
     for (auto &copy : copies)
         CHECK(copy.get().code != code(ResultCode::served));
-    int left = 0;
+    int running = 0;
     for (const char *name : {"a-m1", "a-m2", "a-m3"})
-        left += fleet.isRunning(name) ? 1 : 0;
-    CHECK(left >= 1);
+        running += fleet.isRunning(name) ? 1 : 0;
+    CHECK(running >= 1);
 }
 
-// What the caller sees: its stream to the end. In what order: an instance is told to stop while it
-// serves streams. Why: it takes nothing new, finishes what it has, then exits.
-TEST_CASE_METHOD(AnswersFixture, "plannedStop_underLoad_completesAllStreams")
+// Guards against streams that are cut by a planned stop. A stopping instance accepts no new
+// requests, completes those in flight, and exits.
+TEST_CASE_METHOD(ResponsesFixture, "plannedStop_underLoad_completesAllStreams")
 {
     std::vector<std::future<Reply>> streams;
     for (int i = 0; i < 12; ++i)
         streams.push_back(std::async(std::launch::async, [this, i] {
             return fleet.chat("a1", true, 200, "stream " + std::to_string(i));
         }));
-    eventually("all streams are under way", [&] {
+    eventually("all streams are in flight", [&] {
         return fleet.adminStatus("a1").find("\"inFlight\":12,") != std::string::npos;
     });
     CHECK(fleet.stop("a1", SIGTERM) == 0);
     for (auto &stream : streams) {
         const Reply reply = stream.get();
         bool done = false;
-        CHECK(streamedText(reply.body, done) == wholeText(200));
+        CHECK(streamedText(reply.body, done) == expectedText(200));
         CHECK(done);
         CHECK(reply.isComplete);
     }
     OutgoingRequest request;
     request.url = "http://" + fleet.callers("a2") + "/v1/entries";
     request.headers = {{"Authorization", "Bearer free-token"}};
-    eventually("callers are not pointed at it",
+    eventually("the stopping instance is not listed for callers",
                [&] { return fleet.send(request).body.find("\"a1\"") == std::string::npos; });
 }
 
-// What callers see: nothing. In what order: an engine says that it is leaving; it runs what it has.
-// Why: its own word, seen by any instance, is passed on at once.
-TEST_CASE_METHOD(AnswersFixture, "drainingEngine_afterItsOwnReport_getsNoNewRequests")
+// Guards against new requests to a draining engine. The engine reports that it is draining in its
+// responses, and the instance that receives one informs the others at once.
+TEST_CASE_METHOD(ResponsesFixture, "drainingEngine_afterItsOwnReport_getsNoNewRequests")
 {
     fleet.setFault("a-m1", "leaving");
     for (const char *entry : {"a1", "a2"})
-        eventually("it is known",
+        eventually("the instance knows that the engine is draining",
                    [&] { return fleet.adminStatus(entry).find("leaving") != std::string::npos; });
     for (int i = 0; i < 40; ++i) {
         const Reply reply
@@ -363,7 +363,7 @@
     }
 }
 
-TEST_CASE_METHOD(AnswersFixture, "drainingEngine_inThePlatformsList_getsNoNewRequests")
+TEST_CASE_METHOD(ResponsesFixture, "drainingEngine_inThePlatformsList_getsNoNewRequests")
 {
     std::promise<StoreWrite> written;
     fleet.store().compareAndSet("platform/instances", 0,
@@ -371,17 +371,17 @@
                                 [&](const StoreWrite &write) { written.set_value(write); });
     CHECK(written.get_future().get().status == StoreStatus::ok);
     for (const char *entry : {"a1", "a2"})
-        eventually("it is known",
+        eventually("the instance knows that the engine is draining",
                    [&] { return fleet.adminStatus(entry).find("leaving") != std::string::npos; });
     for (int i = 0; i < 20; ++i)
         CHECK(fleet.chat("a1", false, 2, std::to_string(i)).servedBy.find("a-m2")
               == std::string::npos);
 }
 
-// What callers see: one late answer at most each, then none. In what order: engines freeze with
-// requests on open connections. Why: a request that makes no progress moves on to another engine,
-// on a new connection, and the frozen engine gets no more.
-TEST_CASE_METHOD(AnswersFixture, "stalledEngine_withOpenConnections_isNotUsed")
+// Guards against callers that wait for an engine that stalls with open connections. A request
+// without progress is retried at another engine on a new connection, and the stalled engine gets no
+// more requests.
+TEST_CASE_METHOD(ResponsesFixture, "stalledEngine_withOpenConnections_isNotUsed")
 {
     for (int i = 0; i < 9; ++i)
         fleet.chat("a1", false, 2, std::to_string(i));
--- a/test/booking-fleet-test.cc
+++ b/test/booking-fleet-test.cc
@@ -1,4 +1,4 @@
-// Bookings on real processes.
+// Bookings through real processes.
 #include <csignal>
 #include <future>
 #include <thread>
@@ -23,7 +23,7 @@
     Fleet fleet{FleetShape{}};
 };
 
-struct TwoRegions
+struct TwoRegionsFixture
 {
     Fleet fleet{FleetShape{.regions = 2}};
 };
@@ -32,12 +32,13 @@
 
 TEST_CASE_METHOD(BookingFleetFixture, "booking_sentTwice_runsOnceAndIsReportedAsRepeated")
 {
-    const std::string own = fleet.callerKey();
-    CHECK(fleet.book("a1", own).code == code(ResultCode::served));
-    eventually("the outcome is on the page",
-               [&] { return fleet.book("a2", own).code == code(ResultCode::bookingRepeated); });
-    CHECK(fleet.book("a1", own, "{\"n\":2}").code == code(ResultCode::bookingKeyReused));
-    CHECK(fleet.totalRuns(own) == 1);
+    const std::string callerKey = fleet.callerKey();
+    CHECK(fleet.book("a1", callerKey).code == code(ResultCode::served));
+    eventually("the outcome is written to the claim page", [&] {
+        return fleet.book("a2", callerKey).code == code(ResultCode::bookingRepeated);
+    });
+    CHECK(fleet.book("a1", callerKey, "{\"n\":2}").code == code(ResultCode::bookingKeyReused));
+    CHECK(fleet.totalRuns(callerKey) == 1);
 
     const std::string issued = fleet.issuedKey("a1");
     const Reply first = fleet.book("a2", issued);
@@ -48,9 +49,9 @@
     CHECK(fleet.totalRuns(issued) == 1);
 }
 
-// What the caller sees: "outcome unknown" once. In what order: a booking uses a connection that was
-// kept from an earlier one; the server runs it and closes without an answer. Why: libcurl sends
-// again by itself on a kept connection, so bookings get a connection of their own.
+// Guards against a booking that runs twice. The server runs it and closes the connection without a
+// response. On a reused connection libcurl would send the request again by itself, so each booking
+// uses a new connection.
 TEST_CASE_METHOD(BookingFleetFixture, "booking_connectionClosedAfterTheRun_isNotSentAgain")
 {
     for (int i = 0; i < 4; ++i) {
@@ -68,9 +69,9 @@
     CHECK(fleet.totalRuns(key) == 1);
 }
 
-// What the caller sees: its connection breaks; sent again elsewhere, "outcome unknown". In what
-// order: the claim is on the page, the booking is at the server, the holder is killed. Why: a claim
-// without an outcome is never sent again.
+// Guards against a booking that runs twice. The instance that holds the claim is killed after it
+// sent the booking to the server; a claim without an outcome is never sent again by another
+// instance.
 TEST_CASE_METHOD(BookingFleetFixture, "booking_holderKilledBeforeTheResponse_isNotSentAgain")
 {
     fleet.setFault("a-a1", "hang");
@@ -86,8 +87,9 @@
     CHECK(fleet.totalRuns(key) == 0);
 }
 
-// What the caller sees: one booking. In what order: the store applies the claim and loses the
-// answer, or applies it late. Why: the claim is read back, and the attempt's number decides.
+// Guards against a booking that runs twice because the store's response to a claim is lost, or the
+// claim is written late. The claim page is read back, and the attempt number decides who holds the
+// claim.
 TEST_CASE_METHOD(BookingFleetFixture, "booking_storeLosesResponses_runsAtMostOnce")
 {
     for (const char *mode : {"loseAnswers", "late", "refuse"}) {
@@ -109,30 +111,29 @@
     }
 }
 
-// What the caller sees: with its own key "not run, come back, or use an issued key"; with an issued
-// key its booking. In what order: the store goes down and stays down. Why: issued keys are kept in
-// the memory of the instance that issued them.
+// Guards against bookings that fail while the store is down. Caller keys are refused as "not run";
+// issued keys work, because they are kept in the memory of the instance that issued them.
 TEST_CASE_METHOD(BookingFleetFixture, "booking_storeDown_refusesCallerKeysAndAcceptsIssuedKeys")
 {
     fleet.setFault("store", "down");
-    const std::string own = fleet.callerKey();
-    const Reply refused = fleet.book("a1", own);
+    const std::string callerKey = fleet.callerKey();
+    const Reply refused = fleet.book("a1", callerKey);
     CHECK(refused.code == code(ResultCode::storeUnreachable));
     CHECK(refused.runState == "not run");
     CHECK(refused.retryAfter > 0);
     const std::string issued = fleet.issuedKey("a1");
     CHECK(fleet.book("a2", issued).code == code(ResultCode::served));
     CHECK(fleet.totalRuns(issued) == 1);
-    CHECK(fleet.totalRuns(own) == 0);
+    CHECK(fleet.totalRuns(callerKey) == 0);
     fleet.setFault("store", "none");
-    eventually("the refused key can be used",
-               [&] { return fleet.book("a2", own).code == code(ResultCode::served); });
-    CHECK(fleet.totalRuns(own) == 1);
+    eventually("the refused key can be used again",
+               [&] { return fleet.book("a2", callerKey).code == code(ResultCode::served); });
+    CHECK(fleet.totalRuns(callerKey) == 1);
 }
 
-// What the caller sees: one booking. In what order: the holder of a claim is frozen before it
-// sends, the caller sends again through another instance, the holder wakes. Why: the claim was
-// taken once and is never handed on, however long its holder sleeps.
+// Guards against a booking that runs twice. The holder of the claim is paused before it sends, the
+// caller sends again through another instance, and the holder resumes. A claim never passes to
+// another instance, however long its holder is paused.
 TEST_CASE_METHOD(BookingFleetFixture, "booking_holderPausedBetweenClaimAndSend_runsAtMostOnce")
 {
     fleet.setFault("store", "slow");
@@ -143,10 +144,10 @@
     fleet.setFault("store", "none");
     const Reply second = fleet.book("a2", key);
     fleet.signal("a1", SIGCONT);
-    const Reply woken = first.get();
+    const Reply resumed = first.get();
     const int runs = fleet.totalRuns(key);
     CHECK(runs <= 1);
-    if (second.runState == "not run" && woken.runState == "not run")
+    if (second.runState == "not run" && resumed.runState == "not run")
         CHECK(runs == 0);
 }
 
@@ -162,9 +163,8 @@
     }
 }
 
-// What the caller sees: "outcome unknown" with an issued key. In what order: the instance that
-// issued it is killed, the caller sends through another. Why: only that incarnation could know
-// whether the key was used.
+// Guards against a booking that runs twice after the instance that issued its key was killed. Only
+// that incarnation of the instance knows whether the key was used, so the outcome is unknown.
 TEST_CASE_METHOD(BookingFleetFixture, "booking_issuerKilled_isUnknownAndNotSentByOthers")
 {
     const std::string key = fleet.issuedKey("a1");
@@ -177,35 +177,34 @@
     CHECK(fleet.totalRuns(key) == 1);
 }
 
-// What the caller sees: "not run", then its booking with the same key. In what order: no
-// application engine can be reached, then one can. Why: a connection that was never made is
-// certain.
+// Guards against a key that is blocked by an attempt without a connection, which certainly did not
+// run. The caller gets "not run" while no application engine can be reached, and can use the same
+// key later.
 TEST_CASE_METHOD(BookingFleetFixture, "booking_noServerReachable_reportsNotRunAndReleasesTheKey")
 {
-    const std::string own = fleet.callerKey();
+    const std::string callerKey = fleet.callerKey();
     const std::string issued = fleet.issuedKey("a1");
     fleet.stop("a-a1", SIGKILL);
-    CHECK(fleet.book("a1", own).runState == "not run");
+    CHECK(fleet.book("a1", callerKey).runState == "not run");
     CHECK(fleet.book("a1", issued).runState == "not run");
     fleet.start("a-a1");
-    eventually("the booking runs",
-               [&] { return fleet.book("a2", own).code == code(ResultCode::served); });
-    eventually("the other too",
+    eventually("the booking with the caller key runs",
+               [&] { return fleet.book("a2", callerKey).code == code(ResultCode::served); });
+    eventually("the booking with the issued key runs",
                [&] { return fleet.book("a2", issued).code == code(ResultCode::served); });
-    CHECK(fleet.totalRuns(own) == 1);
+    CHECK(fleet.totalRuns(callerKey) == 1);
     CHECK(fleet.totalRuns(issued) == 1);
 }
 
-// What callers in the cut region see: bookings go on. In what order: every other region and the
-// store stop answering. Why: issued keys, the last configuration and the region's own backend
-// servers are all that a booking needs.
-TEST_CASE_METHOD(TwoRegions, "booking_regionDisconnected_runsWithIssuedKeys")
+// Guards against bookings that fail when all other regions and the store are unreachable. Issued
+// keys, the last configuration and the region's own backend servers are sufficient.
+TEST_CASE_METHOD(TwoRegionsFixture, "booking_regionDisconnected_runsWithIssuedKeys")
 {
     for (const char *name : {"store", "b1", "b2", "b-m1", "b-m2", "b-a1"})
         fleet.signal(name, SIGSTOP);
     const std::string key = fleet.issuedKey("a1");
     CHECK(fleet.book("a1", key).code == code(ResultCode::served));
-    // The cut region's engines cannot be asked now; ours ran it once.
+    // The engines of the other region don't respond now; the local one ran it once.
     CHECK(fleet.runCounts("a-a1")[key] == 1);
     CHECK(fleet.chat("a2", true).code == code(ResultCode::served));
     CHECK(fleet.readStatus("a1").code == code(ResultCode::served));
@@ -214,13 +213,13 @@
     CHECK(fleet.totalRuns(key) == 1);
 }
 
-// What the caller sees: its booking runs in another region, once. In what order: its region has no
-// application engine left. Why: the instance that took the right to send passes it on to one
-// instance and to no other.
-TEST_CASE_METHOD(TwoRegions, "booking_noLocalServer_runsOnceInAnotherRegion")
+// Guards against a booking that fails or runs twice when its region has no application engine left.
+// The instance that acquired the right to send transfers it to exactly one instance of another
+// region.
+TEST_CASE_METHOD(TwoRegionsFixture, "booking_noLocalServer_runsOnceInAnotherRegion")
 {
     fleet.stop("a-a1", SIGKILL);
-    eventually("the loss is noticed",
+    eventually("the engine is reported as unreachable",
                [&] { return fleet.adminStatus("a1").find("unreachable") != std::string::npos; });
     for (const std::string &key : {fleet.callerKey(), fleet.issuedKey("a1")}) {
         const Reply reply = fleet.book("a1", key);
