--- a/src/entry/chat-pages.cc
+++ b/src/entry/chat-pages.cc
@@ -58,7 +58,7 @@
 
 HttpResponse ChatPages::entries(const HttpRequest &request)
 {
-    const auto config = m_state.gate.config();
+    const auto config = m_state.activeConfig.config();
     const std::string id = newRequestId(m_state);
     if (!config)
         return refusalResponse(id,
--- a/src/entry/control-loads.cc
+++ b/src/entry/control-loads.cc
@@ -1,5 +1,5 @@
 // The part of the control loop that polls and checks backend servers and exchanges their loads,
-// silence and cold states, and the use of customers, with other instances.
+// silence and cold states, and the usage of customers, with other instances.
 #include <map>
 
 #include "control.h"
@@ -14,8 +14,8 @@
 
 constexpr std::string_view reporterTask = "reporter";
 constexpr std::size_t pollersPerServer = 2; // one of them may be stopped
-// The platform counts health checks. If the one checker fails, a silent server is tried with a
-// request by the time the next instance takes over.
+// The platform counts health checks, so only one instance checks a server. If that instance fails
+// for a time, a server that is silent for longer is tried with a request anyway.
 constexpr std::size_t checkersPerServer = 1;
 constexpr std::size_t maxRegionLoadsPerMessage = 16; // of about 45 bytes
 // Bounds the polls of an instance however many servers it is responsible for; with more servers,
@@ -35,11 +35,11 @@
     return reporters;
 }
 
-LoadReport reportOf(const std::string &server, const BufferedResponse &answer)
+LoadReport reportOf(const std::string &server, const BufferedResponse &reply)
 {
     constexpr int statusOk = 200;
-    if (answer.result.outcome == TransferOutcome::complete && answer.response.status == statusOk)
-        return parseLoadMetrics(server, answer.response.body);
+    if (reply.result.outcome == TransferOutcome::complete && reply.response.status == statusOk)
+        return parseLoadMetrics(server, reply.response.body);
     LoadReport report;
     report.server = server;
     report.reachable = false;
@@ -76,12 +76,12 @@
 void Control::sendServerLoads()
 {
     const TimePoint now = m_state.clock.now();
-    const bool reporting = isResponsibleFor(reporterTask, 1);
+    const bool isReporter = isResponsibleFor(reporterTask, 1);
     GossipMessage message = makeEmptyMessage();
-    message.loads = m_state.servers.collectNewReports(now, maxLoadsPerMessage, reporting);
+    message.loads = m_state.servers.collectNewReports(now, maxLoadsPerMessage, isReporter);
     if (message.loads.empty())
         return;
-    if (reporting)
+    if (isReporter)
         return sendToRegion(message);
     const auto reporters = reportersByRegion(m_membership.aliveMembers());
     const auto own = reporters.find(m_state.settings.region);
@@ -89,9 +89,9 @@
         m_link.sendGossip(own->second.gossipAddress, message);
 }
 
-// Sends the use of this instance's customers to the region's reporter. The reporter sends the
-// region's sums to the reporters of the other regions, and the sums of all regions to the instances
-// of its own.
+// Sends this instance's usage by customer to the region's reporter. The reporter sends the region's
+// sums to the reporters of the other regions, and the sums of all regions to the instances of its
+// own region.
 void Control::sendCustomerUsage()
 {
     if (!m_state.usageCaps.hasCaps())
@@ -119,7 +119,7 @@
 }
 
 // On the region's reporter: sends the region's loads to the reporters of the other regions, and the
-// loads of all regions to the instances of its own. Probes alone would bring them every four
+// loads of all regions to the instances of its own region. Probes alone would bring them every four
 // seconds, while a traffic peak can fill a region within one second.
 void Control::sendRegionLoads()
 {
@@ -143,9 +143,9 @@
     broadcastSilenceUpdates(m_silentServers.tick());
     for (const ServerView &view : m_silentServers.dueForStatusCheck()) {
         sendBuffered(m_client, makeRegionStatusQuery(m_protocol, view.server),
-                     [this, view](const BufferedResponse &answer) {
-                         m_link.post([this, view, answer] {
-                             m_silentServers.onStatusCheckEnded(view, answer);
+                     [this, view](const BufferedResponse &reply) {
+                         m_link.post([this, view, reply] {
+                             m_silentServers.onStatusCheckEnded(view, reply);
                          });
                      });
     }
@@ -154,11 +154,11 @@
             continue;
         const ColdCheck check{view, view.counters->possiblyColdSent};
         sendBuffered(m_client, makeRegionHealthCheck(m_state, m_protocol, view.server),
-                     [this, check](const BufferedResponse &answer) {
-                         m_link.post([this, check, answer] {
-                             broadcastColdUpdate(m_coldServers.onHealthCheckEnded(check, answer));
+                     [this, check](const BufferedResponse &reply) {
+                         m_link.post([this, check, reply] {
+                             broadcastColdUpdate(m_coldServers.onHealthCheckEnded(check, reply));
                              broadcastSilenceUpdates(
-                                 m_silentServers.onHealthCheckEnded(check.view, answer));
+                                 m_silentServers.onHealthCheckEnded(check.view, reply));
                          });
                      });
     }
@@ -171,9 +171,9 @@
     };
     for (const ColdCheck &check : m_coldServers.dueForHealthCheck(isResponsible)) {
         sendBuffered(m_client, makeRegionHealthCheck(m_state, m_protocol, check.view.server),
-                     [this, check](const BufferedResponse &answer) {
-                         m_link.post([this, check, answer] {
-                             broadcastColdUpdate(m_coldServers.onHealthCheckEnded(check, answer));
+                     [this, check](const BufferedResponse &reply) {
+                         m_link.post([this, check, reply] {
+                             broadcastColdUpdate(m_coldServers.onHealthCheckEnded(check, reply));
                          });
                      });
     }
@@ -201,7 +201,7 @@
 
 void Control::pollServers()
 {
-    const auto config = m_state.gate.config();
+    const auto config = m_state.activeConfig.config();
     if (!config || config->servers.empty())
         return;
     std::vector<const BackendServer *> own;
@@ -221,14 +221,14 @@
     request.limits.firstByte = std::chrono::seconds(1);
     request.limits.total = std::chrono::seconds(1);
     sendBuffered(m_client, std::move(request),
-                 [this, name = server.name](const BufferedResponse &answer) {
-                     m_link.post([this, name, answer] { onPollResponse(name, answer); });
+                 [this, name = server.name](const BufferedResponse &reply) {
+                     m_link.post([this, name, reply] { onPollResponse(name, reply); });
                  });
 }
 
-void Control::onPollResponse(const std::string &server, const BufferedResponse &answer)
+void Control::onPollResponse(const std::string &server, const BufferedResponse &reply)
 {
-    const LoadReport report = reportOf(server, answer);
+    const LoadReport report = reportOf(server, reply);
     if (!m_state.servers.onReport(report, m_state.clock.now()))
         return;
     m_routingDirty = true;
--- a/src/entry/control.cc
+++ b/src/entry/control.cc
@@ -102,10 +102,10 @@
     m_link.post([this, marks = std::move(marks)] {
         // A caller that sends the request again is likely to reach this region, so all its members
         // receive the marks directly. In the other regions they spread from a few members.
-        int others = gossipFanout;
+        int remoteReceivers = gossipFanout;
         for (const Member &member : m_membership.aliveMembers()) {
             const bool local = member.region == m_state.settings.region;
-            if (!local && others-- <= 0)
+            if (!local && remoteReceivers-- <= 0)
                 continue;
             GossipMessage message = makeEmptyMessage();
             message.crashMarks = marks;
@@ -140,7 +140,7 @@
     m_source->tick();
     checkSilentServers();
     checkColdServers();
-    // The use of a customer that is close to its cap must be reported before its burst is used up.
+    // The usage of a customer near its cap must be reported before its burst is used up.
     m_state.usageCaps.tick(now);
     if (now >= m_nextUsageReport || m_state.usageCaps.isNearAnyCap(now)) {
         m_nextUsageReport = now + usageReportPeriod;
@@ -172,7 +172,7 @@
 {
     GossipMessage message;
     message.probe = std::move(probe);
-    message.configVersion = m_state.gate.version();
+    message.configVersion = m_state.activeConfig.version();
     message.rangePositions = m_source->positions();
     const TimePoint now = m_state.clock.now();
     {
@@ -197,7 +197,7 @@
     GossipMessage message;
     message.probe.sender = m_membership.self();
     message.probe.kind = ProbeKind::ack;
-    message.configVersion = m_state.gate.version();
+    message.configVersion = m_state.activeConfig.version();
     return message;
 }
 
@@ -221,7 +221,7 @@
     std::vector<Member> members = m_membership.members();
     members.push_back(m_membership.self());
     updateRetryBurst(members.size());
-    updateUsagePlace();
+    updateUsageScope();
     const auto old = m_state.members.read();
     if (old && *old == members)
         return;
@@ -241,9 +241,9 @@
 }
 
 // The platform limits the retries of all instances together to a share of the requests plus a fixed
-// slack. Each instance may save up an equal part of that slack; a fifth is kept back for instances
-// that it does not know yet. A dead member keeps its part as long as it is in the list, since it
-// may only be unreachable from here.
+// slack. Each instance may save up an equal share of that slack; a fifth of it is reserved for
+// instances that are not known here yet. A dead member keeps its share as long as it is in the
+// list, since it may only be unreachable from here.
 void Control::updateRetryBurst(std::size_t members)
 {
     if (m_state.settings.interfaces != Interfaces::platform)
@@ -253,11 +253,11 @@
                                  / static_cast<double>(std::max<std::size_t>(members, 1)));
 }
 
-void Control::updateUsagePlace()
+void Control::updateUsageScope()
 {
     const TimePoint now = m_state.clock.now();
     UsageScope scope{m_state.settings.region, {}, m_membership.possibleSenders(now).size()};
-    const auto config = m_state.gate.config();
+    const auto config = m_state.activeConfig.config();
     const auto &regions = config ? config->regions : m_state.settings.regions;
     for (const Region &region : regions)
         scope.regions.push_back(region.name);
@@ -281,24 +281,24 @@
     double slots = 0;
     for (const ServerView &view : table->servers)
         slots += view.server.slots;
-    const double part = slots <= 0 ? 0 : m_state.inFlight * table->trafficFactor / slots;
+    const double utilization = slots <= 0 ? 0 : m_state.inFlight * table->trafficFactor / slots;
     constexpr double percent = 100;
-    m_membership.setLoadPercent(static_cast<std::uint8_t>(std::min(1.0, part) * percent));
+    m_membership.setLoadPercent(static_cast<std::uint8_t>(std::min(1.0, utilization) * percent));
     m_state.metrics.setGauge("ibisnotch_in_flight", m_state.inFlight);
     m_state.metrics.setGauge("ibisnotch_config_version",
-                             static_cast<double>(m_state.gate.version()));
+                             static_cast<double>(m_state.activeConfig.version()));
 }
 
-// Ranks the usable members of the region by rendezvous hashing. So tasks are distributed without a
+// Ranks the alive members of the region by rendezvous hashing. This distributes tasks without a
 // coordinator, and the next in rank takes over when an instance leaves or fails.
-bool Control::isResponsibleFor(std::string_view key, std::size_t count) const
+bool Control::isResponsibleFor(std::string_view task, std::size_t count) const
 {
-    const std::uint64_t hash = hash64(key);
-    const std::uint64_t own = rendezvousWeight(m_state.settings.name, hash);
+    const std::uint64_t hash = hash64(task);
+    const std::uint64_t ownWeight = rendezvousWeight(m_state.settings.name, hash);
     std::size_t ahead = 0;
     for (const Member &member : m_membership.aliveMembers()) {
         const bool local = member.region == m_state.settings.region;
-        if (local && rendezvousWeight(member.name, hash) > own)
+        if (local && rendezvousWeight(member.name, hash) > ownWeight)
             ++ahead;
     }
     return ahead < count;
@@ -360,17 +360,17 @@
             m_state.quarantine.onMark(mark, now);
     }
     m_source->onPositions(message.rangePositions, from);
-    // Without the rejected version, a configuration that is invalid here would be pulled again
-    // with every probe.
-    if (message.configVersion > std::max(m_state.gate.version(), m_rejectedVersion))
+    // Rejected versions are not pulled again; otherwise each probe that announces one would cause
+    // another request.
+    if (message.configVersion > std::max(m_state.activeConfig.version(), m_rejectedVersion))
         pullConfigFrom(from);
 }
 
 PeerReply Control::onRequest(const PeerRequest &request)
 {
     PeerReply reply;
-    if (m_state.gate.version() > request.knownVersion)
-        reply.delta = m_state.gate.deltaSince(request.knownVersion);
+    if (m_state.activeConfig.version() > request.knownVersion)
+        reply.delta = m_state.activeConfig.deltaSince(request.knownVersion);
     if (request.wantsMembers) {
         reply.members = m_membership.members();
         reply.members.push_back(m_membership.self());
@@ -379,12 +379,12 @@
     return reply;
 }
 
-void Control::requestRanges(const std::string &gossipAddress, std::vector<RangeRequest> questions,
+void Control::requestRanges(const std::string &gossipAddress, std::vector<RangeRequest> requests,
                             std::function<void(std::optional<PeerReply>)> done)
 {
     PeerRequest request;
-    request.knownVersion = m_state.gate.version();
-    request.rangeRequests = std::move(questions);
+    request.knownVersion = m_state.activeConfig.version();
+    request.rangeRequests = std::move(requests);
     m_link.sendRequest(gossipAddress, request, std::move(done));
 }
 
@@ -394,7 +394,7 @@
         return;
     m_pullInProgress = true;
     PeerRequest request;
-    request.knownVersion = m_state.gate.version();
+    request.knownVersion = m_state.activeConfig.version();
     request.wantsMembers = request.knownVersion == 0;
     m_link.sendRequest(gossipAddress, request, [this](const std::optional<PeerReply> &reply) {
         m_pullInProgress = false;
@@ -404,28 +404,28 @@
             m_membership.applyUpdate(member, m_state.clock.now());
         if (reply->delta.toVersion == 0)
             return;
-        const auto before = m_state.gate.document();
+        const auto before = m_state.activeConfig.document();
         const auto document = applyDelta(before.get(), reply->delta);
         if (document.ok())
-            offerConfig(*document, "peer");
+            applyConfig(*document, "peer");
     });
 }
 
-void Control::offerConfig(const ConfigDocument &document, const std::string &source)
+void Control::applyConfig(const ConfigDocument &document, const std::string &source)
 {
-    const ConfigApplyResult result = m_state.gate.apply(document);
+    const ConfigApplyResult result = m_state.activeConfig.apply(document);
     if (result == ConfigApplyResult::invalid) {
         m_rejectedVersion = std::max(m_rejectedVersion, document.version);
-        logLine(
-            LogPart::config, LogLevel::error, "Configuration version rejected.",
-            {{"version", std::to_string(document.version)}, {"reason", m_state.gate.lastError()}});
+        logLine(LogPart::config, LogLevel::error, "Configuration version rejected.",
+                {{"version", std::to_string(document.version)},
+                 {"reason", m_state.activeConfig.lastError()}});
     }
     if (result != ConfigApplyResult::accepted)
         return;
     logLine(LogPart::config, LogLevel::info, "Configuration version in force.",
             {{"version", std::to_string(document.version)}, {"source", source}});
-    m_state.servers.setConfig(m_state.gate.config());
-    m_state.usageCaps.setCaps(m_state.gate.config()->customers);
+    m_state.servers.setConfig(m_state.activeConfig.config());
+    m_state.usageCaps.setCaps(m_state.activeConfig.config()->customers);
     m_source->onConfig();
     publishRoutingTable();
     announceConfig();
@@ -438,7 +438,7 @@
     for (OutgoingProbe &item : m_membership.broadcast(gossipFanout, m_state.random)) {
         GossipMessage message;
         message.probe = std::move(item.probe);
-        message.configVersion = m_state.gate.version();
+        message.configVersion = m_state.activeConfig.version();
         m_link.sendGossip(item.address, message);
     }
 }
--- a/src/entry/control.h
+++ b/src/entry/control.h
@@ -39,18 +39,19 @@
     {
         m_link.postAfter(delay, std::move(task));
     }
-    // Puts the document in force and announces it, if it is newer than the configuration in force
-    // and valid here. `source` names where it came from in the log.
-    void offerConfig(const ConfigDocument &document, const std::string &source);
-    // Whether this instance is one of the `count` instances of its region that perform a task.
-    bool isResponsibleFor(std::string_view key, std::size_t count) const;
-    // Returns the number of usable instances in this region, including this one.
+    // Puts the document in force and announces it if it is valid here and newer than the
+    // configuration in force. `source` is logged as the origin of the document.
+    void applyConfig(const ConfigDocument &document, const std::string &source);
+    // Returns whether this instance is one of the `count` instances of its region that perform a
+    // task.
+    bool isResponsibleFor(std::string_view task, std::size_t count) const;
+    // Returns the number of alive instances in this region, including this one.
     std::size_t regionSize() const;
     // Sends the update to all other instances of the region; twice if it contains changes.
     void broadcastRangeUpdate(RangeUpdate update);
-    // Requests the changes of ranges from another instance. `done` is called with nothing if that
-    // instance does not answer.
-    void requestRanges(const std::string &gossipAddress, std::vector<RangeRequest> questions,
+    // Requests the changes of ranges from another instance. Calls `done` with nothing if it does
+    // not reply.
+    void requestRanges(const std::string &gossipAddress, std::vector<RangeRequest> requests,
                        std::function<void(std::optional<PeerReply>)> done);
     // Publishes the routing table and gossips with a few random members without waiting for the
     // next probe.
@@ -84,7 +85,7 @@
     std::vector<RegionLoad> ownRegionLoads(const RoutingTable &table) const;
     void sendServerLoads();
     void sendCustomerUsage();
-    void updateUsagePlace();
+    void updateUsageScope();
     void updateRetryBurst(std::size_t members);
     void updateOwnLoad();
 
@@ -97,7 +98,7 @@
     GossipMessage makeEmptyMessage();
     void pollServers();
     void pollServer(const BackendServer &server);
-    void onPollResponse(const std::string &server, const BufferedResponse &answer);
+    void onPollResponse(const std::string &server, const BufferedResponse &reply);
     void pullConfigFrom(const std::string &gossipAddress);
     void announceConfig();
 
--- a/src/entry/document-source.cc
+++ b/src/entry/document-source.cc
@@ -53,7 +53,7 @@
 void DocumentSource::watchConfig()
 {
     if (m_watchingConfig
-        || !(m_state.gate.version() == 0
+        || !(m_state.activeConfig.version() == 0
              || m_control.isResponsibleFor("config", watchersPerRegion)))
         return;
     m_watchingConfig = true;
@@ -72,7 +72,7 @@
         m_configIndex = read.index;
         const auto document = parseDocument(read.value);
         if (document.ok())
-            m_control.offerConfig(*document, "store");
+            m_control.applyConfig(*document, "store");
         else
             logLine(LogPart::config, LogLevel::error,
                     "Configuration document could not be parsed.");
@@ -85,7 +85,7 @@
 // another instance becomes responsible.
 void DocumentSource::removeExpiredClaimPages()
 {
-    const auto config = m_state.gate.config();
+    const auto config = m_state.activeConfig.config();
     if (!config || m_state.settings.region != config->regions.front().name
         || !m_control.isResponsibleFor("sweep", 1))
         return;
--- a/src/entry/health-check.cc
+++ b/src/entry/health-check.cc
@@ -23,7 +23,8 @@
 OutgoingRequest makeRegionHealthCheck(const EntryState &state, const Protocol &protocol,
                                       const BackendServer &server)
 {
-    return withTimeout(protocol.makeHealthCheck(*state.gate.config(), server), healthCheckTimeout);
+    return withTimeout(protocol.makeHealthCheck(*state.activeConfig.config(), server),
+                       healthCheckTimeout);
 }
 
 OutgoingRequest makeRegionStatusQuery(const Protocol &protocol, const BackendServer &server)
--- a/src/entry/operators.cc
+++ b/src/entry/operators.cc
@@ -86,8 +86,8 @@
     return reply(200,
                  {{"name", state.settings.name},
                   {"region", state.settings.region},
-                  {"configVersion", state.gate.version()},
-                  {"configError", state.gate.lastError()},
+                  {"configVersion", state.activeConfig.version()},
+                  {"configError", state.activeConfig.lastError()},
                   {"stopping", state.stopping.load()},
                   {"inFlight", state.inFlight.load()},
                   {"control",
@@ -147,7 +147,7 @@
 HttpResponse customers(EntryState &state)
 {
     json list = json::array();
-    const auto config = state.gate.config();
+    const auto config = state.activeConfig.config();
     const auto states = state.usageCaps.states(state.clock.now());
     if (!config)
         return reply(503, {{"error", "no configuration yet"}});
@@ -166,7 +166,7 @@
 HttpResponse drain(DispatchServices &services, const HttpRequest &request, bool drained)
 {
     const std::string server = queryValue(request.query, "server").value_or("");
-    const auto config = services.state.gate.config();
+    const auto config = services.state.activeConfig.config();
     if (request.method != "POST" || !config || config->servers.count(server) == 0)
         return reply(404, {{"error", "POST with server=NAME of this region expected"}});
     services.state.servers.setDrained(server, drained);
--- a/src/entry/placement-controller.cc
+++ b/src/entry/placement-controller.cc
@@ -17,7 +17,7 @@
 PlacementPlanner::Limits plannerLimits(const EntryState &state)
 {
     PlacementPlanner::Limits limits;
-    const auto config = state.gate.config();
+    const auto config = state.activeConfig.config();
     if (config)
         limits.loadsPerMinute = config->limits.weightLoadsPerMinute
             / static_cast<double>(std::max<std::size_t>(1, config->regions.size()));
@@ -48,7 +48,7 @@
 
 bool PlacementController::isResponsible() const
 {
-    const auto config = m_state.gate.config();
+    const auto config = m_state.activeConfig.config();
     if (!config || m_state.stopping)
         return false;
     // Only one member of the region tries to acquire the lease, to save store requests.
@@ -149,7 +149,7 @@
 
 void PlacementController::queryPlacements()
 {
-    const auto config = m_state.gate.config();
+    const auto config = m_state.activeConfig.config();
     for (const auto &[name, server] : config->servers) {
         if (!server.placement)
             continue;
@@ -180,7 +180,7 @@
 
 void PlacementController::sendOrders()
 {
-    const auto config = m_state.gate.config();
+    const auto config = m_state.activeConfig.config();
     PlacementQuestion question;
     question.servers = &config->servers;
     question.observed = &m_observed;
@@ -193,7 +193,7 @@
 
 void PlacementController::send(const PlacementOrder &order)
 {
-    const auto config = m_state.gate.config();
+    const auto config = m_state.activeConfig.config();
     const auto server = config->servers.find(order.server);
     if (server == config->servers.end())
         return;
--- a/src/entry/range-source.cc
+++ b/src/entry/range-source.cc
@@ -36,11 +36,11 @@
 {
     chooseRoles();
     for (const auto &range : m_ranges)
-        advance(*range);
-    m_changed |= m_servers.expire(m_state.clock.now());
+        startNextCall(*range);
+    m_serversChanged |= m_servers.expire(m_state.clock.now());
     updateListState();
     updateConfigState();
-    publish();
+    publishChanges();
 }
 
 void RangeSource::updateListState()
@@ -107,8 +107,8 @@
 {
     const std::vector<StoreItem> changes = range.follower.onUpdate(update, at);
     for (const StoreItem &item : changes)
-        apply(item, sourcePeer);
-    publish();
+        applyItem(item, sourcePeer);
+    publishChanges();
     return !changes.empty();
 }
 
@@ -167,9 +167,9 @@
         range.peerRequestPending = false;
         if (!reply)
             return;
-        for (const RangeReply &one : reply->rangeReplies) {
-            if (rangeId(one.update.prefix) == range.id)
-                applyReply(range, one);
+        for (const RangeReply &rangeReply : reply->rangeReplies) {
+            if (rangeId(rangeReply.update.prefix) == range.id)
+                applyReply(range, rangeReply);
         }
     });
 }
@@ -186,15 +186,15 @@
             makeRangeUpdate(update.prefix, update.base, update.asOf, update.items));
 }
 
-std::vector<RangeReply> RangeSource::updatesSince(const std::vector<RangeRequest> &questions) const
+std::vector<RangeReply> RangeSource::updatesSince(const std::vector<RangeRequest> &requests) const
 {
     std::vector<RangeReply> replies;
     const TimePoint now = m_state.clock.now();
-    for (const RangeRequest &question : questions) {
+    for (const RangeRequest &request : requests) {
         for (const auto &range : m_ranges) {
-            if (range->id != question.range)
+            if (range->id != request.range)
                 continue;
-            if (auto update = range->follower.updateSince(range->prefix, question.known))
+            if (auto update = range->follower.updateSince(range->prefix, request.known))
                 replies.push_back(
                     {*std::move(update), ageInMs(range->follower.lastConfirmedAt(), now)});
         }
@@ -202,7 +202,7 @@
     return replies;
 }
 
-void RangeSource::advance(Range &range)
+void RangeSource::startNextCall(Range &range)
 {
     const auto call = range.follower.nextCall(m_state.clock.now());
     if (!call)
@@ -224,7 +224,7 @@
     const std::uint64_t base = range.follower.updateBase();
     const bool watched = range.follower.isWatchPending();
     for (const StoreItem &item : range.follower.onResponse(page, m_state.clock.now()))
-        apply(item, sourceStore);
+        applyItem(item, sourceStore);
     // Where all instances watch, each still broadcasts changes: the store may be unreachable for
     // the others.
     const bool broadcasts = range.role == FollowRole::relay
@@ -235,8 +235,8 @@
             m_control.broadcastRangeUpdate(std::move(update));
     }
     logReachability(range);
-    publish();
-    advance(range);
+    publishChanges();
+    startNextCall(range);
 }
 
 void RangeSource::logReachability(Range &range)
@@ -249,30 +249,30 @@
             reachable ? "Store reachable again." : "Store unreachable.", {{"range", range.prefix}});
 }
 
-void RangeSource::apply(const StoreItem &item, std::string_view source)
+void RangeSource::applyItem(const StoreItem &item, std::string_view source)
 {
     if (item.deleted)
-        return remove(item, source);
+        return removeItem(item, source);
     Record record = m_format->read(item);
     if (const auto *document = std::get_if<ConfigDocument>(&record))
-        return m_control.offerConfig(*document, std::string(source));
+        return m_control.applyConfig(*document, std::string(source));
     if (auto *server = std::get_if<ListedServer>(&record))
         return applyServer(item, std::move(*server), source);
     if (const auto *evacuated = std::get_if<EvacuatedDataCentre>(&record)) {
-        m_changed |= m_evacuated.insert(evacuated->name).second;
+        m_serversChanged |= m_evacuated.insert(evacuated->name).second;
         logLine(LogPart::load, LogLevel::info, "Data centre evacuated.",
                 {{"dataCentre", evacuated->name},
                  {"revision", std::to_string(item.revision)},
                  {"source", std::string(source)}});
         return;
     }
-    if (const auto *bad = std::get_if<InvalidRecord>(&record)) {
+    if (const auto *invalid = std::get_if<InvalidRecord>(&record)) {
         logLine(LogPart::store, LogLevel::warn, "Record could not be parsed.",
                 {{"key", item.key},
                  {"revision", std::to_string(item.revision)},
-                 {"reason", bad->reason}});
+                 {"reason", invalid->reason}});
         // Treated as removed: the record no longer names a backend server that may be used.
-        remove(item, source);
+        removeItem(item, source);
     }
 }
 
@@ -289,15 +289,15 @@
                  {"source", std::string(source)}});
     server.revision = item.revision;
     m_servers.put(std::move(server));
-    m_changed = true;
+    m_serversChanged = true;
 }
 
-void RangeSource::remove(const StoreItem &item, std::string_view source)
+void RangeSource::removeItem(const StoreItem &item, std::string_view source)
 {
     const std::string subject = m_format->subject(item.key);
     m_servers.remove(subject, m_state.clock.now());
     m_evacuated.erase(subject);
-    m_changed = true;
+    m_serversChanged = true;
     logLine(LogPart::load, LogLevel::info, "Record removed.",
             {{"key", item.key},
              {"revision", std::to_string(item.revision)},
@@ -319,11 +319,11 @@
     return regionOf(dataCentre) == m_state.settings.region;
 }
 
-void RangeSource::publish()
+void RangeSource::publishChanges()
 {
-    if (!m_changed)
+    if (!m_serversChanged)
         return;
-    m_changed = false;
+    m_serversChanged = false;
     std::map<std::string, ListedServer> local;
     std::vector<RemoteServer> remote;
     for (const auto &[name, listed] : m_servers.servers()) {
--- a/src/entry/range-source.h
+++ b/src/entry/range-source.h
@@ -68,7 +68,7 @@
     void onRangeUpdate(const RangeUpdate &update, const std::string &from) override;
     std::vector<RangePosition> positions() const override;
     void onPositions(const std::vector<RangePosition> &positions, const std::string &from) override;
-    std::vector<RangeReply> updatesSince(const std::vector<RangeRequest> &questions) const override;
+    std::vector<RangeReply> updatesSince(const std::vector<RangeRequest> &requests) const override;
 
 private:
     struct Range
@@ -84,7 +84,7 @@
     void chooseRoles();
     Range *findRange(std::uint32_t id);
 
-    void advance(Range &range);
+    void startNextCall(Range &range);
     void onPage(Range &range, StorePage page);
     void onPosition(Range &range, const RangePosition &position, const std::string &from);
     void requestFromPeer(Range &range, const std::string &from);
@@ -94,10 +94,10 @@
     void logReachability(Range &range);
     void updateListState();
     void updateConfigState();
-    void apply(const StoreItem &item, std::string_view source);
+    void applyItem(const StoreItem &item, std::string_view source);
     void applyServer(const StoreItem &item, ListedServer server, std::string_view source);
-    void remove(const StoreItem &item, std::string_view source);
-    void publish();
+    void removeItem(const StoreItem &item, std::string_view source);
+    void publishChanges();
     std::string regionOf(const std::string &dataCentre) const; // empty if unknown
     bool isLocal(const std::string &dataCentre) const;
 
@@ -108,7 +108,7 @@
     std::vector<std::unique_ptr<Range>> m_ranges;
     ServerList m_servers;
     std::set<std::string> m_evacuated;
-    bool m_changed = false;
+    bool m_serversChanged = false;
 };
 
 } // namespace ibisnotch
--- a/src/entry/state.cc
+++ b/src/entry/state.cc
@@ -27,7 +27,7 @@
 
 EntryState::EntryState(ProcessSettings from, std::unique_ptr<ConfigFormat> format)
     : settings(std::move(from)), incarnation(newIncarnation()), random(randomSeed()),
-      gate(settings.region, std::move(format)), servers(ServerTable::Limits{}),
+      activeConfig(settings.region, std::move(format)), servers(ServerTable::Limits{}),
       usageCaps(usageLimits(settings)), quarantine(settings.name, Quarantine::Limits{}),
       issuedKeys(settings.name, incarnation, IssuedKeys::Limits{}), traces(maxTraces)
 {
@@ -37,7 +37,7 @@
 
 bool isReady(const EntryState &state)
 {
-    return state.gate.version() > 0 && !state.stopping;
+    return state.activeConfig.version() > 0 && !state.stopping;
 }
 
 std::string newRequestId(EntryState &state)
--- a/src/entry/state.h
+++ b/src/entry/state.h
@@ -43,7 +43,7 @@
     const TimePoint startedAt = clock.now();
     Random random;
 
-    ActiveConfig gate;
+    ActiveConfig activeConfig;
     ServerTable servers;
     RegionTable regionLoads;
     RcuValue<RoutingTable> routing;
--- a/test/control-test.cc
+++ b/test/control-test.cc
@@ -119,10 +119,10 @@
 {
     peer.sendProbe(state.settings.gossipAddress.text());
     std::this_thread::sleep_for(300ms);
-    CHECK(state.gate.version() == 0);
+    CHECK(state.activeConfig.version() == 0);
     start();
-    waitFor([this] { return state.gate.version() > 0; });
-    CHECK(state.gate.version() == 9);
+    waitFor([this] { return state.activeConfig.version() > 0; });
+    CHECK(state.activeConfig.version() == 9);
 }
 
 // Guards against an instance that misses a change of a range because one datagram is lost.
