--- a/src/entry/built-in-interfaces.cc
+++ b/src/entry/built-in-interfaces.cc
@@ -10,7 +10,9 @@
 class BuiltInInterfaces final : public InterfaceFactory
 {
 public:
-    explicit BuiltInInterfaces(std::string store) : m_storeAddress(std::move(store)) { }
+    explicit BuiltInInterfaces(std::string storeAddress) : m_storeAddress(std::move(storeAddress))
+    {
+    }
 
     std::unique_ptr<ConfigFormat> configFormat() override
     {
--- a/src/entry/chat-pages.cc
+++ b/src/entry/chat-pages.cc
@@ -36,9 +36,9 @@
     if (request.path == "/healthz")
         return {200, {}, "ok\n"};
     if (request.path == "/readyz")
-        return ready();
+        return readinessPage();
     if (request.path == "/v1/entries")
-        return entries(request);
+        return entryListPage(request);
     if (m_forPeers) {
         if (auto response = handleOperatorRequest(m_services, request))
             return *std::move(response);
@@ -47,7 +47,7 @@
                            m_state.settings.name);
 }
 
-HttpResponse ChatPages::ready()
+HttpResponse ChatPages::readinessPage()
 {
     if (isReady(m_state))
         return {200, {}, "ready\n"};
@@ -56,7 +56,7 @@
                            m_state.settings.name);
 }
 
-HttpResponse ChatPages::entries(const HttpRequest &request)
+HttpResponse ChatPages::entryListPage(const HttpRequest &request)
 {
     const auto config = m_state.activeConfig.config();
     const std::string id = newRequestId(m_state);
--- a/src/entry/chat-pages.h
+++ b/src/entry/chat-pages.h
@@ -18,8 +18,8 @@
     HttpResponse respond(const HttpRequest &request) override;
 
 private:
-    HttpResponse entries(const HttpRequest &request);
-    HttpResponse ready();
+    HttpResponse entryListPage(const HttpRequest &request);
+    HttpResponse readinessPage();
 
     EntryState &m_state;
     DispatchServices m_services;
--- a/src/entry/chat-protocol.cc
+++ b/src/entry/chat-protocol.cc
@@ -9,7 +9,7 @@
 
 namespace {
 
-constexpr int firstServerError = 500;
+constexpr int minServerErrorStatus = 500;
 
 class ChatReader final : public ResponseReader
 {
@@ -21,17 +21,17 @@
 
     std::optional<AttemptOutcome> onHead(int status, const Headers &headers) override
     {
-        m_leaving = !m_fromPeer && headers.get("X-Engine-Draining").has_value();
+        m_isServerLeaving = !m_fromPeer && headers.get("X-Engine-Draining").has_value();
         if (m_check.onHead(status, headers) != ResponseVerdict::valid)
             return AttemptOutcome::mismatched;
         const std::string type = headers.get("Content-Type").value_or("");
-        m_streams
+        m_isStreaming
             = m_format == ResponseFormat::eventStream && type.rfind("text/event-stream", 0) == 0;
         if (!m_fromPeer)
             return classifyStatus(status, headers);
         int code = 0;
         if (absl::SimpleAtoi(headers.get("X-Result-Code").value_or(""), &code))
-            m_code = static_cast<ResultCode>(code);
+            m_resultCode = static_cast<ResultCode>(code);
         return std::nullopt;
     }
 
@@ -53,16 +53,16 @@
         return m_check.isComplete() ? AttemptOutcome::answered : AttemptOutcome::truncated;
     }
 
-    bool isStreaming() const override { return m_streams; }
-    ResultCode resultCode() const override { return m_code; }
-    bool isServerLeaving() const override { return m_leaving; }
+    bool isStreaming() const override { return m_isStreaming; }
+    ResultCode resultCode() const override { return m_resultCode; }
+    bool isServerLeaving() const override { return m_isServerLeaving; }
 
 private:
     static std::optional<AttemptOutcome> classifyStatus(int status, const Headers &headers)
     {
         if (headers.get("X-Not-Run"))
             return AttemptOutcome::refusedNotRun;
-        if (status >= firstServerError)
+        if (status >= minServerErrorStatus)
             return AttemptOutcome::serverError;
         return std::nullopt;
     }
@@ -70,9 +70,9 @@
     ResponseCheck m_check;
     ResponseFormat m_format;
     bool m_fromPeer;
-    bool m_streams = false;
-    bool m_leaving = false;
-    ResultCode m_code = ResultCode::served;
+    bool m_isStreaming = false;
+    bool m_isServerLeaving = false;
+    ResultCode m_resultCode = ResultCode::served;
 };
 
 class ChatProtocol final : public Protocol
@@ -99,12 +99,12 @@
         return refusalResponse(exchange.id, refusal, servedBy);
     }
 
-    Headers makeResponseHeaders(const Exchange &exchange, ResultCode code, const Headers &given,
+    Headers makeResponseHeaders(const Exchange &exchange, ResultCode code, const Headers &received,
                                 const std::string &servedBy) const override
     {
         Headers headers = resultHeaders(exchange.id, code, servedBy);
         for (const char *name : {"Content-Type", "Retry-After"}) {
-            if (const auto value = given.get(name))
+            if (const auto value = received.get(name))
                 headers.add(name, *value);
         }
         return headers;
@@ -119,28 +119,28 @@
     OutgoingRequest makeServerRequest(const Exchange &exchange, const Target &target,
                                       Duration) const override
     {
-        const bool application = exchange.service->kind == ServiceKind::application;
-        return request(exchange, target,
-                       application ? exchange.service->path : exchange.request.path);
+        const bool isApplication = exchange.service->kind == ServiceKind::application;
+        return makeRequest(exchange, target,
+                           isApplication ? exchange.service->path : exchange.request.path);
     }
 
     OutgoingRequest makePeerRequest(const Exchange &exchange, const Target &target,
                                     Duration remaining) const override
     {
-        OutgoingRequest result = request(exchange, target, exchange.request.path);
+        OutgoingRequest result = makeRequest(exchange, target, exchange.request.path);
         result.headers.add(std::string(customerHeader), exchange.customer->name);
         if (const auto service = exchange.request.headers.get("X-Service"))
             result.headers.add("X-Service", *service);
-        const auto left = std::chrono::duration_cast<std::chrono::milliseconds>(remaining);
-        result.headers.add("X-Request-Timeout-Ms", std::to_string(left.count()));
+        const auto remainingMs = std::chrono::duration_cast<std::chrono::milliseconds>(remaining);
+        result.headers.add("X-Request-Timeout-Ms", std::to_string(remainingMs.count()));
         return result;
     }
 
     std::unique_ptr<ResponseReader> makeReader(const Exchange &exchange,
                                                bool fromPeer) const override
     {
-        const bool chat = exchange.service->kind == ServiceKind::model;
-        ResponseFormat format = chat ? ResponseFormat::json : ResponseFormat::plain;
+        const bool isChat = exchange.service->kind == ServiceKind::model;
+        ResponseFormat format = isChat ? ResponseFormat::json : ResponseFormat::plain;
         if (exchange.streaming)
             format = ResponseFormat::eventStream;
         return std::make_unique<ChatReader>(exchange.id, format, fromPeer);
@@ -158,17 +158,17 @@
         return request;
     }
 
-    bool isSameIncarnation(const Target &target, const BufferedResponse &answer) const override
+    bool isSameIncarnation(const Target &target, const BufferedResponse &reply) const override
     {
-        const LoadReport report = parseLoadMetrics(target.name, answer.response.body);
+        const LoadReport report = parseLoadMetrics(target.name, reply.response.body);
         return report.incarnation != 0 && report.incarnation == target.incarnation;
     }
 
     bool passesServerErrors() const override { return false; }
 
 private:
-    static OutgoingRequest request(const Exchange &exchange, const Target &target,
-                                   const std::string &path)
+    static OutgoingRequest makeRequest(const Exchange &exchange, const Target &target,
+                                       const std::string &path)
     {
         OutgoingRequest request;
         request.method = exchange.request.method;
