--- a/src/net/config-admin.cc
+++ b/src/net/config-admin.cc
@@ -23,7 +23,7 @@
 
 absl::Status storeUnavailable()
 {
-    return absl::UnavailableError("the store does not answer; nothing was changed, try again");
+    return absl::UnavailableError("the store is unavailable; nothing was changed, try again");
 }
 
 void diffFile(const std::string &name, const std::string &from, const std::string &to,
@@ -92,11 +92,11 @@
 
 absl::StatusOr<ConfigDocument> ConfigAdmin::version(std::uint64_t number)
 {
-    const auto now = current();
-    if (!now.ok())
-        return now.status();
-    if (now->document && now->document->version == number)
-        return *now->document;
+    const auto inForce = current();
+    if (!inForce.ok())
+        return inForce.status();
+    if (inForce->document && inForce->document->version == number)
+        return *inForce->document;
     const StoreRead found = read(historyKey(number));
     if (found.status == StoreStatus::notFound)
         return absl::NotFoundError(fmt::format("no version {}", number));
@@ -118,30 +118,33 @@
 absl::StatusOr<ConfigDocument> ConfigAdmin::apply(ConfigDocument draft,
                                                   std::optional<std::uint64_t> basedOn)
 {
-    const auto now = current();
-    if (!now.ok())
-        return now.status();
-    const std::uint64_t version = now->document ? now->document->version : 0;
+    const auto inForce = current();
+    if (!inForce.ok())
+        return inForce.status();
+    const std::uint64_t version = inForce->document ? inForce->document->version : 0;
     if (basedOn && *basedOn != version)
         return absl::AbortedError(fmt::format(
-            "version {} is in force, the change was made on {}; nothing was changed, see diff",
+            "version {} is in force, but the change is based on version {}; nothing was changed, "
+            "see diff",
             version, *basedOn));
-    const auto checked = validateDocument(draft, now->document ? &*now->document : nullptr);
+    const auto checked = validateDocument(draft, inForce->document ? &*inForce->document : nullptr);
     if (!checked.ok())
         return checked.status();
-    if (now->document) {
-        const absl::Status kept = saveToHistory(*now->document);
-        if (!kept.ok())
-            return kept;
+    if (inForce->document) {
+        const absl::Status saved = saveToHistory(*inForce->document);
+        if (!saved.ok())
+            return saved;
     }
     draft.version = version + 1;
-    const StoreWrite written = write(std::string(currentKey), now->index, serializeDocument(draft));
+    const StoreWrite written
+        = write(std::string(currentKey), inForce->index, serializeDocument(draft));
     switch (written.status) {
     case StoreStatus::ok:
         return draft;
     case StoreStatus::notFound:
     case StoreStatus::conflict:
-        return absl::AbortedError("another operator was first; nothing was changed, see diff");
+        return absl::AbortedError(
+            "another operator's change came first; nothing was changed, see diff");
     case StoreStatus::notApplied:
     case StoreStatus::historyLost:
         return storeUnavailable();
@@ -157,14 +160,15 @@
     // would not: it could find its own first write and report a conflict.
     const auto after = current();
     if (!after.ok())
-        return absl::UnknownError("the store stopped answering during the change; it may have "
-                                  "taken effect, see show once it is back");
+        return absl::UnknownError("the store became unavailable during the change, which may have "
+                                  "taken effect; run show once the store is available");
     if (after->document && *after->document == draft)
         return draft;
     if (after->document && after->document->version >= draft.version)
-        return absl::AbortedError("another operator was first; nothing was changed, see diff");
-    return absl::UnknownError("the store lost the answer and does not show the change yet; see "
-                              "show before trying again");
+        return absl::AbortedError(
+            "another operator's change came first; nothing was changed, see diff");
+    return absl::UnknownError("the store's response was lost and the change is not visible yet; "
+                              "run show before trying again");
 }
 
 absl::StatusOr<ConfigDocument> ConfigAdmin::rollBack(std::uint64_t number,
@@ -173,12 +177,12 @@
     auto old = version(number);
     if (!old.ok())
         return old.status();
-    const auto now = current();
-    if (!now.ok())
-        return now.status();
+    const auto inForce = current();
+    if (!inForce.ok())
+        return inForce.status();
     old->author = author;
     old->note = fmt::format("roll back to version {}", number);
-    return apply(*std::move(old), now->document ? now->document->version : 0);
+    return apply(*std::move(old), inForce->document ? inForce->document->version : 0);
 }
 
 absl::StatusOr<ConfigDocument> loadDocument(const std::string &folder)
