--- a/src/decide/load-metrics.cc
+++ b/src/decide/load-metrics.cc
@@ -7,10 +7,10 @@
 
 double metricValue(std::string_view text, std::string_view name)
 {
-    const absl::string_view whole(text.data(), text.size());
+    const absl::string_view allLines(text.data(), text.size());
     const absl::string_view wanted(name.data(), name.size());
     double sum = 0;
-    for (const absl::string_view line : absl::StrSplit(whole, '\n')) {
+    for (const absl::string_view line : absl::StrSplit(allLines, '\n')) {
         const bool named = line.substr(0, wanted.size()) == wanted && line.size() > wanted.size()
             && (line[wanted.size()] == ' ' || line[wanted.size()] == '{');
         double value = 0;
--- a/src/entry/control.h
+++ b/src/entry/control.h
@@ -60,7 +60,7 @@
 
     // Announces to all members that this instance is leaving. May be called from any thread.
     void leave();
-    // Sends crash marks to all members of this region and to a few of the others. May be called
+    // Sends crash marks to all members of this region and to a few of other regions. May be called
     // from any thread.
     void broadcastCrashMarks(std::vector<CrashMark> marks);
     // Publishes a new routing table as soon as the minimum interval allows. May be called from any
--- a/src/entry/instance.cc
+++ b/src/entry/instance.cc
@@ -76,12 +76,13 @@
 
 void Instance::listen(const Address &address, RequestHandler &handler)
 {
-    const ProcessSettings &from = m_state.settings;
+    const ProcessSettings &processSettings = m_state.settings;
     HttpServerSettings settings;
     settings.address = address.host;
     settings.port = address.port;
-    settings.maxConnections = static_cast<std::size_t>(from.maxConnections);
-    settings.idleTimeout = std::chrono::duration_cast<std::chrono::seconds>(from.idleTimeout);
+    settings.maxConnections = static_cast<std::size_t>(processSettings.maxConnections);
+    settings.idleTimeout
+        = std::chrono::duration_cast<std::chrono::seconds>(processSettings.idleTimeout);
     m_servers.push_back(std::make_unique<HttpServer>(settings, handler, *m_loop));
 }
 
--- a/src/entry/state.cc
+++ b/src/entry/state.cc
@@ -25,8 +25,8 @@
 
 } // namespace
 
-EntryState::EntryState(ProcessSettings from, std::unique_ptr<ConfigFormat> format)
-    : settings(std::move(from)), incarnation(newIncarnation()), random(randomSeed()),
+EntryState::EntryState(ProcessSettings processSettings, std::unique_ptr<ConfigFormat> format)
+    : settings(std::move(processSettings)), incarnation(newIncarnation()), random(randomSeed()),
       activeConfig(settings.region, std::move(format)), servers(ServerTable::Limits{}),
       usageCaps(usageLimits(settings)), quarantine(settings.name, Quarantine::Limits{}),
       issuedKeys(settings.name, incarnation, IssuedKeys::Limits{}), traces(maxTraces)
--- a/src/entry/state.h
+++ b/src/entry/state.h
@@ -32,7 +32,7 @@
 // Created once; used by the control loop and the request threads.
 struct EntryState
 {
-    explicit EntryState(ProcessSettings from,
+    explicit EntryState(ProcessSettings processSettings,
                         std::unique_ptr<ConfigFormat> format = std::make_unique<OverlayFormat>());
 
     Hop hop() const { return {settings.name, settings.region}; }
--- a/src/net/http-client.cc
+++ b/src/net/http-client.cc
@@ -446,26 +446,26 @@
 
     bool onHead(int status, const Headers &headers) override
     {
-        m_answer.response.status = status;
-        m_answer.response.headers = headers;
+        m_reply.response.status = status;
+        m_reply.response.headers = headers;
         return true;
     }
 
     bool onData(std::string_view data) override
     {
-        m_answer.response.body += data;
-        return m_answer.response.body.size() <= maxBufferedBytes;
+        m_reply.response.body += data;
+        return m_reply.response.body.size() <= maxBufferedBytes;
     }
 
     void onEnd(const TransferResult &result) override
     {
-        m_answer.result = result;
-        m_done(m_answer);
+        m_reply.result = result;
+        m_done(m_reply);
     }
 
 private:
     std::function<void(const BufferedResponse &)> m_done;
-    BufferedResponse m_answer;
+    BufferedResponse m_reply;
 };
 
 } // namespace
@@ -479,10 +479,10 @@
 BufferedResponse sendAndWait(HttpClient &client, OutgoingRequest request)
 {
     auto promise = std::make_shared<std::promise<BufferedResponse>>();
-    auto answer = promise->get_future();
+    auto response = promise->get_future();
     sendBuffered(client, std::move(request),
-                 [promise](const BufferedResponse &whole) { promise->set_value(whole); });
-    return answer.get();
+                 [promise](const BufferedResponse &reply) { promise->set_value(reply); });
+    return response.get();
 }
 
 } // namespace ibisnotch
--- a/src/net/peer-link.cc
+++ b/src/net/peer-link.cc
@@ -143,9 +143,10 @@
             if (error || size > maxFrameBytes)
                 return done(false);
             connection->in.resize(size);
-            asio::async_read(
-                connection->socket, asio::buffer(connection->in),
-                [connection, done](const asio::error_code &bad, std::size_t) { done(!bad); });
+            asio::async_read(connection->socket, asio::buffer(connection->in),
+                             [connection, done](const asio::error_code &bodyError, std::size_t) {
+                                 done(!bodyError);
+                             });
         });
 }
 
@@ -244,8 +245,9 @@
         const std::string bytes = encode(request);
         connection->socket.async_connect(
             tcp::endpoint(host, parsed->port),
-            [this, connection, bytes, done = std::move(done)](const asio::error_code &refused) {
-                if (refused)
+            [this, connection, bytes,
+             done = std::move(done)](const asio::error_code &connectError) {
+                if (connectError)
                     return done(std::nullopt);
                 m_sent += bytes.size();
                 writeFrame(connection, bytes, [this, connection, done](bool written) {
@@ -268,7 +270,7 @@
     void receive()
     {
         m_buffer.resize(maxDatagramBytes);
-        m_udp.async_receive_from(asio::buffer(m_buffer), m_from,
+        m_udp.async_receive_from(asio::buffer(m_buffer), m_sender,
                                  [this](const asio::error_code &error, std::size_t size) {
                                      if (error == asio::error::operation_aborted)
                                          return;
@@ -282,7 +284,8 @@
     {
         m_received += size;
         const auto message = decodeGossip(m_buffer.substr(0, size));
-        const std::string from = m_from.address().to_string() + ":" + std::to_string(m_from.port());
+        const std::string from
+            = m_sender.address().to_string() + ":" + std::to_string(m_sender.port());
         if (message)
             m_handler.onGossip(*message, from);
     }
@@ -318,7 +321,7 @@
     udp::socket m_udp;
     tcp::acceptor m_acceptor;
     std::string m_buffer;
-    udp::endpoint m_from;
+    udp::endpoint m_sender;
 };
 
 PeerLink::PeerLink(const Address &address, PeerHandler &handler)
--- a/test/event-stream-test.cc
+++ b/test/event-stream-test.cc
@@ -16,23 +16,23 @@
 
 TEST_CASE("eventStream_truncatedAnywhere_forwardsCompleteEventsOnly")
 {
-    rc::prop("whole events up to the cut", [] {
+    rc::prop("complete events before the truncation", [] {
         std::string all;
         const int count = *rc::gen::inRange(1, 8);
         for (int i = 0; i < count; ++i)
             all += event(i);
-        const auto cut = *rc::gen::inRange<std::size_t>(0, all.size() + 1);
+        const auto truncatedAt = *rc::gen::inRange<std::size_t>(0, all.size() + 1);
         EventStreamParser stream("");
         std::string out;
         std::size_t begin = 0;
-        while (begin < cut) {
-            const auto size = std::min(cut - begin, *rc::gen::inRange<std::size_t>(1, 9));
+        while (begin < truncatedAt) {
+            const auto size = std::min(truncatedAt - begin, *rc::gen::inRange<std::size_t>(1, 9));
             RC_ASSERT(stream.consume(all.substr(begin, size), out));
             begin += size;
         }
         RC_ASSERT(all.compare(0, out.size(), out) == 0);
         RC_ASSERT((out.empty() || out.ends_with("\n\n")));
-        RC_ASSERT((stream.isComplete() == (out.size() == cut)));
+        RC_ASSERT((stream.isComplete() == (out.size() == truncatedAt)));
         RC_ASSERT((out.empty() == stream.lastEventId().empty()));
     });
 }
