--- a/include/ibisnotch/placement.h
+++ b/include/ibisnotch/placement.h
@@ -36,7 +36,7 @@
     bool operator==(const ObservedPlacement &) const = default;
 };
 
-struct PlacementQuestion
+struct PlacementInput
 {
     const std::map<std::string, BackendServer> *servers = nullptr;
     const std::map<std::string, ObservedPlacement> *observed = nullptr;
@@ -53,7 +53,7 @@
     struct Limits
     {
         double loadsPerMinute = 1; // this region's part of the weight store's rate
-        Duration orderPause = std::chrono::seconds(30); // before an order is given again
+        Duration orderRetryInterval = std::chrono::seconds(30); // before an order is given again
         // A lease is used no longer than this before its end; it covers the way of an order.
         Duration leaseMargin = std::chrono::seconds(2);
     };
@@ -62,25 +62,25 @@
 
     void setLoadsPerMinute(double rate) { m_limits.loadsPerMinute = rate; }
 
-    std::vector<PlacementOrder> plan(const PlacementQuestion &question);
+    std::vector<PlacementOrder> plan(const PlacementInput &input);
 
 private:
-    struct Given
+    struct IssuedOrder
     {
         PlacementOrder order;
-        TimePoint at;
+        TimePoint issuedAt;
     };
 
     void refill(TimePoint now);
-    bool waits(const PlacementOrder &order, TimePoint now) const;
-    static bool waitsForSuccessor(const PlacementQuestion &question, const std::string &server);
-    static bool lastOfItsModel(const PlacementQuestion &question, const std::string &server);
+    bool isPending(const PlacementOrder &order, TimePoint now) const;
+    static bool waitsForSuccessor(const PlacementInput &input, const std::string &server);
+    static bool isLastOfModel(const PlacementInput &input, const std::string &server);
 
     Limits m_limits;
     double m_tokens = 0;
-    TimePoint m_refilled{};
+    TimePoint m_refilledAt{};
     std::uint64_t m_fence = 0;
-    std::map<std::string, Given> m_given;
+    std::map<std::string, IssuedOrder> m_issued;
 };
 
 // The part of an engine that checks orders: the highest number seen wins.
--- a/include/ibisnotch/read-delay.h
+++ b/include/ibisnotch/read-delay.h
@@ -16,15 +16,15 @@
 // one of them takes is learnt from first tokens. One instance of many sees too few first tokens of
 // an engine to know the wait from them alone: what it measured was a tenth of the real one.
 
-struct FirstToken
+struct FirstTokenSample
 {
     std::int64_t tokens = 0; // that the engine had to read
     double waiting = 0; // requests that waited at the engine when it came
-    Duration taken{}; // since the prompt was sent
+    Duration elapsed{}; // since the prompt was sent
     double tokensPerMs = 0; // the best rate known of the engine's pool; 0: none yet
 };
 
-void noteFirstToken(ServerCounters &counters, const FirstToken &first);
+void recordFirstToken(ServerCounters &counters, const FirstTokenSample &first);
 
 // How much engines have to read of a pool's prompts. Thread safe.
 class PromptLengths
--- a/include/ibisnotch/region-choice.h
+++ b/include/ibisnotch/region-choice.h
@@ -56,7 +56,7 @@
     struct Entry
     {
         RegionLoad load;
-        TimePoint at;
+        TimePoint measuredAt;
         double forwardedSince = 0; // sent since the summary, less those that came back
     };
     mutable std::mutex m_mutex;
--- a/include/ibisnotch/server-list.h
+++ b/include/ibisnotch/server-list.h
@@ -20,7 +20,7 @@
     // How long the platform gives a live server to be back after the store's return, and a little
     // for the way of the news. Must stay under the time in which leaving servers may still get
     // work.
-    static constexpr Duration lapseGrace = std::chrono::milliseconds(2300);
+    static constexpr Duration missingGrace = std::chrono::milliseconds(2300);
 
     void put(ListedServer server);
     void remove(const std::string &name, TimePoint now);
--- a/include/ibisnotch/server-table.h
+++ b/include/ibisnotch/server-table.h
@@ -148,7 +148,7 @@
 {
     BackendServer server;
     ServerStatus status = ServerStatus::usable;
-    double reported = 0; // running and waiting, by the last report
+    double reportedLoad = 0; // running and waiting, by the last report
     double waiting = 0; // of those, the ones whose prompts were still to be read
     TimePoint reportedAt{};
     std::uint64_t incarnation = 0;
--- a/include/ibisnotch/stream-statistics.h
+++ b/include/ibisnotch/stream-statistics.h
@@ -16,7 +16,7 @@
 // slots are free, but long answers run into their deadlines, and what they took was taken in vain.
 
 // `events` events of one stream came in `taken`.
-void recordEvents(ServerCounters &counters, int events, Duration taken, TimePoint now);
+void recordEvents(ServerCounters &counters, int events, Duration elapsed, TimePoint now);
 
 // Seconds between two events of a stream there, smoothed; 0 where none came lately.
 double eventIntervalSeconds(const ServerCounters &counters, TimePoint now);
@@ -27,8 +27,8 @@
 public:
     // A stream of the service ended whole after this many events.
     // `priority` is the request's.
-    void onEnded(const Service &service, int priority, const std::string &pool, int events,
-                 TimePoint now);
+    void onStreamEnded(const Service &service, int priority, const std::string &pool, int events,
+                       TimePoint now);
 
     // The seconds between two events at which long answers of the pool's services still end before
     // their deadline, and without a pause that makes them late. 0 while nothing is known.
--- a/src/decide/pick.cc
+++ b/src/decide/pick.cc
@@ -138,11 +138,11 @@
 
 std::size_t LeastReportedPicker::pick(const PickInput &input, Random &)
 {
-    const auto least
-        = std::min_element(input.candidates.begin(), input.candidates.end(),
-                           [](const Candidate &a, const Candidate &b) {
-                               return a.view->reported / a.slots < b.view->reported / b.slots;
-                           });
+    const auto least = std::min_element(input.candidates.begin(), input.candidates.end(),
+                                        [](const Candidate &a, const Candidate &b) {
+                                            return a.view->reportedLoad / a.slots
+                                                < b.view->reportedLoad / b.slots;
+                                        });
     return static_cast<std::size_t>(least - input.candidates.begin());
 }
 
--- a/src/decide/read-delay.cc
+++ b/src/decide/read-delay.cc
@@ -28,9 +28,9 @@
 } // namespace
 
 // Two threads that note at the same moment may lose one sample of many, which does no harm.
-void noteFirstToken(ServerCounters &counters, const FirstToken &first)
+void recordFirstToken(ServerCounters &counters, const FirstTokenSample &first)
 {
-    const double ms = std::max(0.1, milliseconds(first.taken));
+    const double ms = std::max(0.1, milliseconds(first.elapsed));
     // A first token that others made wait tells a rate only beside better ones.
     const bool tellsRate = first.waiting < 1 || counters.tokensPerMs > 0;
     if (first.tokens >= leastTokens && tellsRate)
--- a/src/decide/region-choice.cc
+++ b/src/decide/region-choice.cc
@@ -75,7 +75,7 @@
     const std::lock_guard lock(m_mutex);
     const TimePoint at = now - std::chrono::milliseconds(load.ageMs);
     Entry &entry = m_entries[{load.region, load.service}];
-    if (at <= entry.at)
+    if (at <= entry.measuredAt)
         return;
     entry = {load, at, 0};
 }
@@ -101,11 +101,11 @@
 {
     const std::lock_guard lock(m_mutex);
     const auto found = m_entries.find({region, service});
-    if (found == m_entries.end() || found->second.at + summaryMaxAge <= now)
+    if (found == m_entries.end() || found->second.measuredAt + summaryMaxAge <= now)
         return std::nullopt;
     RegionLoad load = found->second.load;
     load.outstanding = std::max(0.0, load.outstanding + found->second.forwardedSince);
-    load.ageMs = ageMilliseconds(found->second.at, now);
+    load.ageMs = ageMilliseconds(found->second.measuredAt, now);
     return load;
 }
 
@@ -157,10 +157,10 @@
     const std::lock_guard lock(m_mutex);
     std::vector<RegionLoad> loads;
     for (const auto &[key, entry] : m_entries) {
-        if (entry.at + summaryMaxAge <= now)
+        if (entry.measuredAt + summaryMaxAge <= now)
             continue;
         loads.push_back(entry.load);
-        loads.back().ageMs = ageMilliseconds(entry.at, now);
+        loads.back().ageMs = ageMilliseconds(entry.measuredAt, now);
     }
     return loads;
 }
--- a/src/decide/server-list.cc
+++ b/src/decide/server-list.cc
@@ -32,7 +32,7 @@
 {
     const auto gone = std::erase_if(m_servers, [now](const auto &entry) {
         const TimePoint since = entry.second.missingSince;
-        return since != TimePoint{} && now - since >= lapseGrace;
+        return since != TimePoint{} && now - since >= missingGrace;
     });
     return gone > 0;
 }
--- a/src/decide/server-table.cc
+++ b/src/decide/server-table.cc
@@ -60,7 +60,7 @@
     // for all of theirs, it had a full server look empty once it ended, and the other way round.
     constexpr double maxTrafficFactor = 4;
     const int own = view.counters->sentSinceReport - view.counters->endedSinceReport;
-    const double corrected = view.reported + own * std::min(trafficFactor, maxTrafficFactor);
+    const double corrected = view.reportedLoad + own * std::min(trafficFactor, maxTrafficFactor);
     return std::max(corrected, static_cast<double>(view.counters->inFlight));
 }
 
@@ -400,7 +400,7 @@
         ServerView view;
         view.server = record.server;
         view.status = statusOf(record, now);
-        view.reported = record.report.running + record.report.waiting;
+        view.reportedLoad = record.report.running + record.report.waiting;
         view.waiting = record.report.waiting;
         view.reportedAt = record.reportedAt;
         view.incarnation = record.report.incarnation;
--- a/src/decide/stream-statistics.cc
+++ b/src/decide/stream-statistics.cc
@@ -32,11 +32,11 @@
 } // namespace
 
 // Two threads that note at the same moment may lose one sample of many, which does no harm.
-void recordEvents(ServerCounters &counters, int events, Duration taken, TimePoint now)
+void recordEvents(ServerCounters &counters, int events, Duration elapsed, TimePoint now)
 {
     if (events <= 0)
         return;
-    const double each = seconds(taken) / events;
+    const double each = seconds(elapsed) / events;
     const double known = eventIntervalSeconds(counters, now);
     counters.eventIntervalSeconds
         = known > 0 ? intervalSmoothing * known + (1 - intervalSmoothing) * each : each;
@@ -50,8 +50,8 @@
     return fresh ? counters.eventIntervalSeconds.load() : 0;
 }
 
-void StreamStatistics::onEnded(const Service &service, int priority, const std::string &pool,
-                               int events, TimePoint now)
+void StreamStatistics::onStreamEnded(const Service &service, int priority, const std::string &pool,
+                                     int events, TimePoint now)
 {
     const std::lock_guard lock(m_mutex);
     std::erase_if(m_statistics,
--- a/src/entry/dispatch.cc
+++ b/src/entry/dispatch.cc
@@ -269,9 +269,9 @@
     if (m_exchange->prompt.tokens == 0)
         return;
     const double waiting = m_responseLoad ? m_responseLoad->waiting : 0;
-    noteFirstToken(*target.counters,
-                   {tokensToRead(), waiting, m_state.clock.now() - m_attemptStartedAt,
-                    m_routeInputs.tokensPerMs});
+    recordFirstToken(*target.counters,
+                     {tokensToRead(), waiting, m_state.clock.now() - m_attemptStartedAt,
+                      m_routeInputs.tokensPerMs});
     m_state.promptLengths.onPrompt(loadKey(*m_exchange), tokensToRead());
     removeAwaitedFirstToken(target);
 }
@@ -409,9 +409,9 @@
     const bool completeStream
         = outcome == AttemptOutcome::answered && attempt.reader().eventCount() > 0;
     if (completeStream && !target.isPeer && m_attempts == 1)
-        m_state.streamStatistics.onEnded(*m_exchange->service, m_exchange->priority,
-                                         loadKey(*m_exchange), attempt.reader().eventCount(),
-                                         m_state.clock.now());
+        m_state.streamStatistics.onStreamEnded(*m_exchange->service, m_exchange->priority,
+                                               loadKey(*m_exchange), attempt.reader().eventCount(),
+                                               m_state.clock.now());
     if (outcome == AttemptOutcome::answered)
         return deliver(attempt);
     const bool mayResume = m_exchange->service->isResumable && !m_exchange->lastEventId.empty();
--- a/src/entry/placement-controller.cc
+++ b/src/entry/placement-controller.cc
@@ -181,13 +181,13 @@
 void PlacementController::sendOrders()
 {
     const auto config = m_state.activeConfig.config();
-    PlacementQuestion question;
+    PlacementInput question;
     question.servers = &config->servers;
     question.observed = &m_observed;
     question.lease = m_lease;
     question.now = m_state.clock.now();
     m_planner.setLoadsPerMinute(plannerLimits(m_state).loadsPerMinute);
-    for (const PlacementOrder &order : m_planner.plan(question))
+    for (const PlacementOrder &order : m_planner.plan(input))
         send(order);
 }
 
--- a/test/placement-test.cc
+++ b/test/placement-test.cc
@@ -30,8 +30,8 @@
 
     void plan(std::size_t holder)
     {
-        PlacementQuestion question{&m_servers, &m_observed, m_leases[holder], m_now};
-        for (const PlacementOrder &order : m_holders[holder].plan(question))
+        PlacementInput input{&m_servers, &m_observed, m_leases[holder], m_now};
+        for (const PlacementOrder &order : m_holders[holder].plan(input))
             m_wire.push_back(order);
     }
 
@@ -141,12 +141,12 @@
         servers[name].placement = Placement{"m", "2", "", "serve"};
         observed[name] = {{"m", "1", "", "serve"}, false};
     }
-    PlacementPlanner planner({.loadsPerMinute = 2, .orderPause = 30s, .leaseMargin = 2s});
+    PlacementPlanner planner({.loadsPerMinute = 2, .orderRetryInterval = 30s, .leaseMargin = 2s});
     TimePoint now{1h};
     int loads = 0;
     for (int second = 0; second < 60; ++second) {
-        const PlacementQuestion question{&servers, &observed, {1, now + 30s}, now};
-        for (const PlacementOrder &order : planner.plan(question)) {
+        const PlacementInput input{&servers, &observed, {1, now + 30s}, now};
+        for (const PlacementOrder &order : planner.plan(input)) {
             ++loads;
             observed[order.server].placement = order.placement;
         }
@@ -156,8 +156,8 @@
     CHECK(loads <= 2);
     for (int minute = 0; minute < 5; ++minute) {
         for (int second = 0; second < 60; ++second) {
-            const PlacementQuestion question{&servers, &observed, {1, now + 30s}, now};
-            for (const PlacementOrder &order : planner.plan(question))
+            const PlacementInput input{&servers, &observed, {1, now + 30s}, now};
+            for (const PlacementOrder &order : planner.plan(input))
                 observed[order.server].placement = order.placement;
             now += 1s;
         }
@@ -191,7 +191,7 @@
     std::map<std::string, ObservedPlacement> observed{{"e1", {{"m", "1", "", "serve"}, false}},
                                                       {"e2", {{"n", "1", "", "serve"}, false}},
                                                       {"e3", {{"n", "1", "", "serve"}, false}}};
-    PlacementPlanner planner({.loadsPerMinute = 600, .orderPause = 30s, .leaseMargin = 2s});
+    PlacementPlanner planner({.loadsPerMinute = 600, .orderRetryInterval = 30s, .leaseMargin = 2s});
     TimePoint now{1h};
     planner.plan({&servers, &observed, {1, now + 1h}, now});
     now += 1min;
@@ -212,7 +212,7 @@
     servers["e2"].placement = Placement{"m", "1", "", "serve"};
     std::map<std::string, ObservedPlacement> observed{{"e1", {{"m", "1", "", "serve"}, false}},
                                                       {"e2", {{"n", "1", "", "serve"}, false}}};
-    PlacementPlanner planner({.loadsPerMinute = 600, .orderPause = 30s, .leaseMargin = 2s});
+    PlacementPlanner planner({.loadsPerMinute = 600, .orderRetryInterval = 30s, .leaseMargin = 2s});
     TimePoint now{1h};
     planner.plan({&servers, &observed, {1, now + 1h}, now});
     now += 1min;
--- a/test/read-delay-test.cc
+++ b/test/read-delay-test.cc
@@ -18,7 +18,7 @@
     void firstTokens(int count, std::int64_t tokens, double waiting, Duration taken)
     {
         for (int i = 0; i < count; ++i)
-            noteFirstToken(*view.counters, {tokens, waiting, taken, 0});
+            recordFirstToken(*view.counters, {tokens, waiting, taken, 0});
     }
 };
 
@@ -65,12 +65,12 @@
     CHECK(candidates[0].readDelaySeconds == 0);
     CHECK(candidates[1].readDelaySeconds == 0);
     // The rate is known: each that waits counts as a prompt of the usual length.
-    noteFirstToken(*views[0].counters, {1000, 0, 25ms, 0});
+    recordFirstToken(*views[0].counters, {1000, 0, 25ms, 0});
     addEngineEstimates(candidates, 2000, TimePoint{1h});
     CHECK(candidates[0].readDelaySeconds == Approx(0.2));
     CHECK(candidates[1].readDelaySeconds == Approx(0.2));
     for (int i = 0; i < 60; ++i)
-        noteFirstToken(*views[0].counters, {1000, 2, 225ms, 40});
+        recordFirstToken(*views[0].counters, {1000, 2, 225ms, 40});
     addEngineEstimates(candidates, 2000, TimePoint{1h});
     CHECK(candidates[0].readDelaySeconds == Approx(0.4).margin(0.01));
     CHECK(candidates[1].readDelaySeconds == candidates[0].readDelaySeconds);
--- a/test/routing-fixture.h
+++ b/test/routing-fixture.h
@@ -21,7 +21,7 @@
         view.server.models = {"m"};
         view.server.slots = static_cast<int>(slots);
         view.server.cost = cost;
-        view.reported = load;
+        view.reportedLoad = load;
         view.counters = std::make_shared<ServerCounters>();
         views.push_back(view);
     }
@@ -29,7 +29,8 @@
     void finish()
     {
         for (const ServerView &view : views)
-            candidates.push_back({&view, view.reported, static_cast<double>(view.server.slots)});
+            candidates.push_back(
+                {&view, view.reportedLoad, static_cast<double>(view.server.slots)});
     }
 
     PickInput prefixInput(double sharedReadSeconds) const
--- a/test/server-list-test.cc
+++ b/test/server-list-test.cc
@@ -44,7 +44,7 @@
     list.put(server("a"));
     list.remove("a", now);
     list.remove("a", now + 1s);
-    CHECK(list.expire(now + ServerList::lapseGrace));
+    CHECK(list.expire(now + ServerList::missingGrace));
     CHECK(list.servers().empty());
 }
 
--- a/test/server-table-test.cc
+++ b/test/server-table-test.cc
@@ -186,7 +186,7 @@
     const RoutingTable routing = other.routingTable(now);
     CHECK(routing.servers.at(1).status == ServerStatus::leaving);
     CHECK(routing.servers.at(1).incarnation == sent.incarnation);
-    CHECK(routing.servers.at(1).reported == 3 + 65535);
+    CHECK(routing.servers.at(1).reportedLoad == 3 + 65535);
     CHECK(routing.servers.at(1).reportedAt == now - 250ms);
     CompactLoad unknown;
     CHECK_FALSE(other.onReport(unknown, now));
@@ -340,7 +340,7 @@
         for (ServerView &view : views) {
             if (round % 75 != 0)
                 break;
-            view.reported = static_cast<double>(running.size());
+            view.reportedLoad = static_cast<double>(running.size());
             view.counters->sentSinceReport = 0;
             view.counters->endedSinceReport = 0;
         }
--- a/test/stream-statistics-test.cc
+++ b/test/stream-statistics-test.cc
@@ -35,7 +35,7 @@
     void ended(const Service &service, int events, int times = 50)
     {
         for (int i = 0; i < times; ++i)
-            habits.onEnded(service, service.priority, "pool", events, now);
+            habits.onStreamEnded(service, service.priority, "pool", events, now);
     }
 };
 
