--- a/include/ibisnotch/server-table.h
+++ b/include/ibisnotch/server-table.h
@@ -1,4 +1,5 @@
-// What an instance knows of the backend servers of its region, and which of them may get work.
+// The load and status of the backend servers of one region, as one instance knows them, and the
+// immutable routing tables built from that.
 #pragma once
 
 #include <atomic>
@@ -15,29 +16,31 @@
 
 namespace ibisnotch {
 
-// One report of a backend server's load, first hand or through another instance.
+// A report of a backend server's load, received from the server itself or through another
+// instance.
 struct LoadReport
 {
     std::string server;
     std::uint64_t incarnation = 0; // start time of the server's process, wall time in ms
     std::uint32_t running = 0;
     std::uint32_t waiting = 0;
-    std::uint32_t ageMs = 0; // when sent
+    std::uint32_t ageMs = 0; // age of the report when it was sent
     bool leaving = false;
-    bool reachable = true; // false: the probe failed
+    bool reachable = true; // false if the probe failed
 
     bool operator==(const LoadReport &) const = default;
 };
 
-// A report as it travels, in 19 bytes: control traffic has a budget, and reports are most of it.
+// The wire format of a LoadReport. It takes 19 bytes because control traffic has a budget and
+// reports are most of that traffic.
 struct CompactLoad
 {
-    std::uint32_t server = 0; // serverId of its name
+    std::uint32_t server = 0; // serverId() of its name
     std::uint64_t incarnation = 0;
     std::uint16_t running = 0;
     std::uint16_t waiting = 0;
     std::uint16_t age = 0; // in units of 10 ms
-    std::uint8_t flags = 0;
+    std::uint8_t flags = 0; // leaving and unreachable
 
     template <typename Archive> void serialize(Archive &archive)
     {
@@ -46,50 +49,57 @@
     bool operator==(const CompactLoad &) const = default;
 };
 
-// Names a server of a site; a configuration in which two of a site share one is refused.
+// Returns a hash of the server's name. A configuration in which two servers of a site have the same
+// hash is rejected.
 std::uint32_t serverId(std::string_view name);
 
+// Converts a report to its wire format. Values that don't fit are replaced by the largest that
+// does.
 CompactLoad compactLoad(const LoadReport &report);
 
-// Counts that change with each request; shared by successive routing tables.
+// Counters and times of one server that change with each request. Successive routing tables share
+// them. All times are time_since_epoch() of a TimePoint; 0 means never.
 struct ServerCounters
 {
-    std::atomic<int> inFlight = 0; // sent by this instance and not yet over
+    std::atomic<int> inFlight = 0; // requests sent by this instance that haven't finished
     std::atomic<int> sentSinceReport = 0;
     std::atomic<int> endedSinceReport = 0;
-    std::atomic<Duration::rep> lastSentAt = 0; // the last request to the server
-    // While it may have turned cold unnoticed (warmup.h): requests sent, how many of them were sent
-    // before the last look that found it warm, and when that look was answered.
-    std::atomic<std::uint32_t> possiblyColdSent = 0;
+    std::atomic<Duration::rep> lastSentAt = 0; // when this instance last sent a request
+
+    // Used while the server is possibly cold (see warmup.h).
+    std::atomic<std::uint32_t> possiblyColdSent = 0; // requests sent in that state
+    // Value of possiblyColdSent when the last status check that found the server warm was sent.
     std::atomic<std::uint32_t> possiblyColdVerified = 0;
-    std::atomic<Duration::rep> confirmedWarmAt = 0;
-    // Of prompts sent whose first token is not there yet, and what first tokens have shown.
-    std::atomic<int> awaitingFirstToken = 0;
-    std::atomic<double> tokensPerMs = 0; // the engine's reading rate; 0: not known
-    std::atomic<double> msPerWaitingRequest
-        = 0; // smoothed, for each request ahead of a prompt; 0: not known
-    // Of streams (stream-statistics.h).
-    std::atomic<double> eventIntervalSeconds = 0; // smoothed, between two events; 0: not known
+    std::atomic<Duration::rep> confirmedWarmAt = 0; // when that check was answered
+
+    // Speed at which the engine reads prompts (see read-delay.h).
+    std::atomic<int> awaitingFirstToken = 0; // prompts sent whose first token hasn't arrived
+    std::atomic<double> tokensPerMs = 0; // reading rate; 0 if unknown
+    // Smoothed delay that each request ahead of a prompt adds; 0 if unknown.
+    std::atomic<double> msPerWaitingRequest = 0;
+
+    // Speed of streams (see stream-statistics.h).
+    std::atomic<double> eventIntervalSeconds = 0; // between two events, smoothed; 0 if unknown
     std::atomic<Duration::rep> lastEventAt = 0;
-    // For telling a silent server (silence.h): streams that have begun, the last byte from it, and
-    // when this instance began to wait for one.
-    std::atomic<int> awaitedRequests = 0; // requests under way that count
-    std::atomic<int> awaitedStreams = 0; // of those, the ones whose stream has begun
-    std::atomic<std::uint32_t> recoveryEpoch
-        = 0; // rises each time the server is taken for sound again
-    std::atomic<Duration::rep> recoveredAt = 0; // when it last rose
-    std::atomic<Duration::rep> lastReceivedAt = 0;
-    std::atomic<Duration::rep> lastAnsweredAt
-        = 0; // to any instance of the region, as far as is known
-    std::atomic<Duration::rep> waitingSince = 0;
-    std::atomic<Duration::rep> healthCheckSentAt = 0; // whether it lives, by this instance
-    std::atomic<Duration::rep> healthCheckPassedAt = 0; // when such a question was last answered
-    std::atomic<Duration::rep> healthCheckFailedAt = 0; // when one last got no answer
-    std::atomic<bool> trialInProgress = false; // the one request that tries an ejected server again
+
+    // Used to detect a silent server (see silence.h).
+    std::atomic<int> awaitedRequests = 0; // unfinished requests sent in this recovery epoch
+    std::atomic<int> awaitedStreams = 0; // of these, the ones whose stream has begun
+    std::atomic<std::uint32_t> recoveryEpoch = 0; // rises each time the server has recovered
+    std::atomic<Duration::rep> recoveredAt = 0; // when recoveryEpoch last rose
+    std::atomic<Duration::rep> lastReceivedAt = 0; // when a byte of any response last arrived
+    // When the server last responded to any instance of the region, by the reports received so far.
+    std::atomic<Duration::rep> lastAnsweredAt = 0;
+    std::atomic<Duration::rep> waitingSince = 0; // when awaitedRequests last rose from zero
+    // Health checks that this instance sent because the server was silent.
+    std::atomic<Duration::rep> healthCheckSentAt = 0;
+    std::atomic<Duration::rep> healthCheckPassedAt = 0;
+    std::atomic<Duration::rep> healthCheckFailedAt = 0;
+    std::atomic<bool> trialInProgress = false; // one request is testing the ejected server
 };
 
-// An entry of the platform's list of instances. The list lags, so it may still name a server that
-// has been restarted since.
+// A server that the platform's list of instances shows as leaving. The list lags, so the server may
+// have been restarted since.
 struct LeavingNotice
 {
     std::string server;
@@ -97,69 +107,75 @@
     bool operator==(const LeavingNotice &) const = default;
 };
 
-// A backend server as the platform's list of live servers has it.
+// An entry of the platform's list of live servers.
 struct ListedServer
 {
     BackendServer server;
     bool leaving = false;
-    // What is left of the time in which it bears only its pool's warm-up rate, at the time of the
-    // entry's last change.
+    // Remaining time in which the server can handle only its pool's warm-up rate, as of the entry's
+    // last change.
     Duration warmup{};
     std::uint64_t revision = 0; // of the entry; rises with each change
-    TimePoint
-        missingSince{}; // the entry vanished, but its server may be back; default: it is there
+    // When the entry was removed while its server may still be running; default if it exists.
+    TimePoint missingSince{};
     bool operator==(const ListedServer &) const = default;
 };
 
-// A server is cold, as it told the instance that asked it.
+// Message between instances: a server reported in a status check that it is cold.
 struct ColdUpdate
 {
-    std::uint32_t server = 0; // serverId of its name
-    std::uint32_t remainingMs = 0;
+    std::uint32_t server = 0; // serverId() of its name
+    std::uint32_t remainingMs = 0; // time until it is warm
 
     template <typename Archive> void serialize(Archive &archive) { archive(server, remainingMs); }
     bool operator==(const ColdUpdate &) const = default;
 };
 
-// How new the list of servers is.
+// How current the list of servers is.
 struct ListState
 {
-    std::uint64_t revision = 0; // up to which all changes are known
-    TimePoint confirmedAt{}; // when that was last confirmed
-    // After that long without news, it may miss what changed. A watch of the store ends after four
-    // seconds, also when nothing has changed.
+    std::uint64_t revision = 0; // all changes up to this one are known
+    TimePoint confirmedAt{}; // when the store or a peer last confirmed that
+    // A list that hasn't been confirmed for this long may lack changes. A watch of the store
+    // returns within four seconds even if nothing changes.
     Duration maxAge = std::chrono::seconds(5);
     bool operator==(const ListState &) const = default;
 };
 
-enum class ServerStatus { usable, trial, ejected, leaving, unreachable };
+enum class ServerStatus {
+    usable,
+    trial, // the ejection has expired; one request tests the server
+    ejected,
+    leaving, // also if drained by an operator or in an evacuated data centre
+    unreachable, // the last probe failed
+};
 
-// What an attempt tells about its server.
+// What an attempt shows about the health of its server.
 enum class AttemptHealth {
     good,
     failed,
-    notConnected, // the server's process is gone; one such attempt is enough
+    notConnected, // no process accepts connections; ejects the server at once
 };
 
 std::string_view serverStatusName(ServerStatus status);
 
-// One backend server as a request sees it.
+// The state of one backend server in a routing table.
 struct ServerView
 {
     BackendServer server;
     ServerStatus status = ServerStatus::usable;
-    double reportedLoad = 0; // running and waiting, by the last report
-    double waiting = 0; // of those, the ones whose prompts were still to be read
+    double reportedLoad = 0; // requests running and waiting in the last report
+    double waiting = 0; // of these, requests whose prompts weren't read yet
     TimePoint reportedAt{};
     std::uint64_t incarnation = 0;
-    TimePoint coldSince{}; // when this instance heard of it
+    TimePoint coldSince{}; // when this instance learned that the server is cold
     TimePoint coldUntil{};
-    TimePoint cooldownUntil{}; // gets nothing before
-    TimePoint missingSince{}; // its entry of the list vanished; default: it is there
+    TimePoint cooldownUntil{}; // no requests are sent before this
+    TimePoint missingSince{}; // as in ListedServer
     std::shared_ptr<ServerCounters> counters;
 };
 
-// A backend server of another region, which only that region's instances reach.
+// A backend server of another region. Only instances of that region connect to it.
 struct RemoteServer
 {
     std::string name;
@@ -168,24 +184,25 @@
     bool operator==(const RemoteServer &) const = default;
 };
 
-// Immutable; replaced as a whole.
+// Snapshot of what routing decisions need. Immutable; replaced as a whole.
 struct RoutingTable
 {
     std::shared_ptr<const FleetConfig> config;
     std::vector<ServerView> servers;
-    std::vector<RemoteServer> remote; // that may get work
+    std::vector<RemoteServer> remote; // servers of other regions that accept requests
     ListState list;
-    // How much traffic all instances of the region send to these servers, for each request of this
-    // one.
+    // Estimated number of requests that all instances of the region send to these servers for each
+    // request that this instance sends.
     double trafficFactor = 1;
-    std::vector<std::string> senders; // instances that may send to these servers
+    std::vector<std::string> senders; // names of the instances that may send to these servers
 };
 
-// The reported load, corrected by what this instance sent and saw end since the report, and by what
-// the others are taken to have sent meanwhile.
+// Returns the reported load plus an estimate of its change since the report: the requests that this
+// instance sent, less those that ended, times the traffic factor.
 double correctedLoad(const ServerView &view, double trafficFactor);
 
-// Builds routing tables from configuration, reports and the ends of attempts. Thread safe.
+// Builds routing tables from the configuration, the platform's lists, load reports and the outcomes
+// of attempts. Thread safe.
 class ServerTable
 {
 public:
@@ -195,55 +212,62 @@
         Duration firstEjectionTime = std::chrono::seconds(5);
         Duration maxEjectionTime = std::chrono::seconds(60);
         Duration reportMaxAge = std::chrono::seconds(10);
-        // A server that is silent again so soon after a health check has a check that lies.
+        // A server that is silent again within this time after a health check passes the check
+        // without doing any work; it then needs a trial request.
         Duration relapseWindow = std::chrono::seconds(10);
-        // Of a server that was found cold late: what others sent in the last second is not known.
+        // Time without requests after a server is first found cold, since it isn't known what the
+        // other instances sent to it in the last second.
         Duration coldCooldown = std::chrono::milliseconds(1060);
     };
 
     explicit ServerTable(Limits limits) : m_limits(limits) { }
 
     void setConfig(std::shared_ptr<const FleetConfig> config);
-    // Replaces the servers of the platform's list; those that stay keep what is known of them.
+    // Replaces the servers of the platform's list. Servers that stay listed keep their state.
     void setListed(std::map<std::string, ListedServer> listed, TimePoint now);
     void setListState(const ListState &state);
     void setRemote(std::vector<RemoteServer> remote);
-    // Data centres whose servers get nothing for now.
+    // Sets the data centres whose servers get no requests.
     void setEvacuated(std::set<std::string> dataCentres);
-    // The instances of the region that may send to its servers, this one included.
+    // Sets the instances of the region that may send to its servers, including this one.
     void setSenders(std::vector<std::string> senders);
 
-    // What a server says with an answer about its load.
+    // Records the load that a server reported in a response to this instance.
     void onAnswerLoad(const std::string &server, std::uint32_t running, std::uint32_t waiting,
                       TimePoint now);
 
-    // Reports since the last call, for other instances of the region; only those that came with
-    // answers to this one, unless `includeRelayed`.
+    // Returns up to `maxCount` reports that haven't been shared with the other instances of the
+    // region, those of the servers shared least recently first, and marks them as shared. Reports
+    // received through other instances are returned only if `includeRelayed` is set.
     std::vector<CompactLoad> collectNewReports(TimePoint now, std::size_t maxCount,
                                                bool includeRelayed);
-    // Returns true if the report changed whether the server may get work.
+    // Records a report. Returns true if it changed the status of the server.
     bool onReport(const LoadReport &report, TimePoint now);
-    // The same for a report that came from another instance; unknown servers are ignored.
+    // The same for a report from another instance. Reports of unknown servers are ignored.
     bool onReport(const CompactLoad &load, TimePoint now);
-    // The platform's list says that these servers are leaving.
+    // Called when the platform's list shows that these servers are leaving.
     void onLeavingList(const std::vector<LeavingNotice> &notices);
-    // A server says with an answer that it is leaving.
+    // Called when a server reports in a response that it is leaving.
     void onSelfReportedLeaving(const std::string &server);
 
+    // Records the outcome of an attempt and ejects a server that fails repeatedly.
     void onAttempt(const std::string &server, AttemptHealth health, TimePoint now);
-    // A server from which nothing comes any more gets nothing for a while.
+    // Ejects a silent server.
     void onSilence(std::uint32_t server, TimePoint now);
-    // It was heard again. After a health check that was followed by silence once more, the next one
-    // is not believed, and the server has to show itself by a trial.
+    // Called when a silent server responds again, also to a health check. Ends the ejection, unless
+    // the server was ejected within Limits::relapseWindow of its last recovery and needs a trial.
     void onRecovered(std::uint32_t server, TimePoint now);
 
-    // A server bears only its pool's warm-up rate for this long. True if it was not known as cold.
-    bool onCold(std::uint32_t server, Duration left, TimePoint now);
+    // Called when a server reports that it can handle only its pool's warm-up rate for this long.
+    // Returns true if it wasn't known to be cold.
+    bool onCold(std::uint32_t server, Duration remaining, TimePoint now);
 
-    // The state of an operator's drain.
+    // Sets whether an operator drains the server.
     void setDrained(const std::string &server, bool drained);
 
     RoutingTable routingTable(TimePoint now) const;
+    // Returns the recent reports of up to `maxCount` servers, starting at the position `cursor` in
+    // the order of their names, and advances `cursor` for the next call.
     std::vector<CompactLoad> reports(TimePoint now, std::size_t maxCount,
                                      std::size_t &cursor) const;
 
@@ -254,17 +278,18 @@
         LoadReport report;
         TimePoint reportedAt{};
         bool everReported = false;
-        bool receivedDirectly = false; // the report came with an answer to this instance
-        TimePoint lastSharedReportAt{}; // of the last report that was told to others
-        bool leaving = false; // latched for this incarnation
-        std::uint64_t leavingNoticeMs = 0; // of the platform's list
+        bool receivedDirectly = false; // the report came in a response to this instance
+        TimePoint lastSharedReportAt{}; // time of the last report shared with other instances
+        bool leaving = false; // stays true for this incarnation
+        // Wall time of the newest leaving notice in the platform's list; 0 if there was none.
+        std::uint64_t leavingNoticeMs = 0;
         bool drained = false;
         int failures = 0;
         int ejections = 0;
         TimePoint ejectedUntil{};
         TimePoint recoveredAt{};
-        bool needsTrial = false;
-        std::uint64_t revision = 0; // of the platform's list
+        bool needsTrial = false; // only a successful attempt ends the ejection
+        std::uint64_t revision = 0; // of the entry in the platform's list
         TimePoint coldSince{};
         TimePoint coldUntil{};
         TimePoint cooldownUntil{};
@@ -272,16 +297,20 @@
         std::shared_ptr<ServerCounters> counters;
     };
 
+    // Updates the averages behind RoutingTable::trafficFactor.
     void recordTraffic(double reported, double own);
     static CompactLoad compact(const Record &record, TimePoint now);
     void eject(Record &record, TimePoint now);
-    Record *find(std::uint32_t server); // with the lock held; null if unknown
+    // Returns null if the server is unknown. m_mutex must be held.
+    Record *find(std::uint32_t server);
     ServerStatus statusOf(const Record &record, TimePoint now) const;
-    static void recordCold(Record &record, Duration left, TimePoint now);
+    static void recordCold(Record &record, Duration remaining, TimePoint now);
+    // Resets the state that belongs to the server's previous process.
     static void startIncarnation(Record &record, const LoadReport &report);
 
     Limits m_limits;
     mutable std::mutex m_mutex;
+    // Rebuilds m_records from the configuration and the list. m_mutex must be held.
     void rebuild(TimePoint now);
 
     std::shared_ptr<const FleetConfig> m_config;
@@ -290,12 +319,14 @@
     std::vector<RemoteServer> m_remote;
     std::set<std::string> m_evacuated;
     std::map<std::string, Record> m_records;
-    std::map<std::uint32_t, std::string> m_names;
-    // Servers that said themselves until when they are cold. An entry of the list that is read late
-    // may be older than that, and may be gone and back meanwhile.
+    std::map<std::uint32_t, std::string> m_names; // by serverId()
+    // Until when servers are cold by their own report. Kept apart from m_records because a list
+    // entry that is read late may be older than the report, and may have been removed and added
+    // again since.
     std::map<std::string, TimePoint> m_selfReportedCold;
     std::vector<std::string> m_senders;
-    double m_reportedTraffic = 0; // both smoothed over reports
+    // Average load that servers reported, and what this instance had in flight there at that time.
+    double m_reportedTraffic = 0;
     double m_ownTraffic = 0;
 };
 
--- a/src/decide/server-table.cc
+++ b/src/decide/server-table.cc
@@ -56,8 +56,9 @@
 
 double correctedLoad(const ServerView &view, double trafficFactor)
 {
-    // One request among those of a hundred instances tells next to nothing of the others': taken
-    // for all of theirs, it had a full server look empty once it ended, and the other way round.
+    // In a region of a hundred instances, one request of this instance says almost nothing about
+    // the others. With an unlimited factor, a full server looked empty after one request ended, and
+    // an empty one looked full after one was sent.
     constexpr double maxTrafficFactor = 4;
     const int own = view.counters->sentSinceReport - view.counters->endedSinceReport;
     const double corrected = view.reportedLoad + own * std::min(trafficFactor, maxTrafficFactor);
@@ -100,11 +101,12 @@
 {
     std::map<std::string, Record> records;
     const auto add = [&](const BackendServer &server) -> Record & {
-        const auto old = m_records.find(server.name);
+        const auto known = m_records.find(server.name);
         Record record;
-        const bool same = old != m_records.end() && old->second.server.address == server.address;
-        if (same)
-            record = old->second;
+        const bool isSameServer
+            = known != m_records.end() && known->second.server.address == server.address;
+        if (isSameServer)
+            record = known->second;
         else
             record.counters = std::make_shared<ServerCounters>();
         record.server = server;
@@ -119,13 +121,13 @@
         record.missingSince = listed.missingSince;
         if (listed.revision <= record.revision)
             continue;
-        // The newer entry decides, also where it says that a server that was leaving is back: it
-        // was started again under its name.
+        // A newer entry replaces the status, also if it shows a leaving server as live again: the
+        // server was restarted under the same name.
         record.revision = listed.revision;
         record.leaving = listed.leaving;
-        const auto told = m_selfReportedCold.find(name);
+        const auto cold = m_selfReportedCold.find(name);
         const Duration selfReportedRemaining
-            = told == m_selfReportedCold.end() ? Duration(0) : told->second - now;
+            = cold == m_selfReportedCold.end() ? Duration(0) : cold->second - now;
         recordCold(record, std::max(listed.warmup, selfReportedRemaining), now);
     }
     m_records = std::move(records);
@@ -134,11 +136,11 @@
         m_names[serverId(name)] = name;
 }
 
-void ServerTable::recordCold(Record &record, Duration left, TimePoint now)
+void ServerTable::recordCold(Record &record, Duration remaining, TimePoint now)
 {
-    if (left.count() > 0 && now >= record.coldUntil)
+    if (remaining.count() > 0 && now >= record.coldUntil)
         record.coldSince = now;
-    record.coldUntil = left.count() > 0 ? now + left : TimePoint{};
+    record.coldUntil = remaining.count() > 0 ? now + remaining : TimePoint{};
 }
 
 void ServerTable::onAnswerLoad(const std::string &server, std::uint32_t running,
@@ -169,12 +171,12 @@
     const std::lock_guard lock(m_mutex);
     std::vector<Record *> fresh;
     for (auto &[name, record] : m_records) {
-        const bool mayTell = record.receivedDirectly || includeRelayed;
-        if (mayTell && record.reportedAt > record.lastSharedReportAt)
+        const bool canShare = record.receivedDirectly || includeRelayed;
+        if (canShare && record.reportedAt > record.lastSharedReportAt)
             fresh.push_back(&record);
     }
-    // In the order of their names the first ones would be told each time, and in a large region the
-    // others never.
+    // In a large region, sorting by name would share the first servers every time and the others
+    // never.
     std::stable_sort(fresh.begin(), fresh.end(), [](const Record *a, const Record *b) {
         return a->lastSharedReportAt < b->lastSharedReportAt;
     });
@@ -195,7 +197,7 @@
 
 void ServerTable::startIncarnation(Record &record, const LoadReport &report)
 {
-    // The list may have named this run before its first report told when it started.
+    // The list may have shown this process as leaving before its first report told the start time.
     record.leaving = report.incarnation <= record.leavingNoticeMs;
     record.failures = 0;
     record.ejections = 0;
@@ -231,8 +233,8 @@
     Record &record = found->second;
     const ServerStatus before = statusOf(record, now);
     const TimePoint at = now - std::chrono::milliseconds(report.ageMs);
-    // A report of an earlier run of the server, or one that went round the fleet longer than the
-    // one we hold, must not bring a leaving server back.
+    // A report of an earlier incarnation, or one that was relayed so long that a newer one is
+    // known, must not make a leaving server usable again.
     if (report.incarnation != 0 && report.incarnation < record.report.incarnation)
         return false;
     if (report.incarnation > record.report.incarnation)
@@ -263,7 +265,7 @@
         if (found == m_records.end())
             continue;
         found->second.leavingNoticeMs = std::max(found->second.leavingNoticeMs, notice.sinceMs);
-        // A server that started after the notice is another run under the same name.
+        // A server that started after the notice is a new process under the same name.
         if (found->second.report.incarnation <= notice.sinceMs)
             found->second.leaving = true;
     }
@@ -292,10 +294,10 @@
         record.ejectedUntil = {};
         return;
     }
-    // Nobody listens where the server was. Waiting for more failures would cost each of the next
-    // callers an attempt, and a burst of them all their retries.
-    const bool gone = health == AttemptHealth::notConnected;
-    record.failures += gone ? m_limits.failuresToEject : 1;
+    // No process listens at the address. Waiting for more failures would cost each of the next
+    // requests an attempt, and each request of a burst all its retries.
+    const bool notConnected = health == AttemptHealth::notConnected;
+    record.failures += notConnected ? m_limits.failuresToEject : 1;
     const bool trialFailed = record.ejections > 0 && now >= record.ejectedUntil;
     if (record.failures < m_limits.failuresToEject && !trialFailed)
         return;
@@ -304,8 +306,8 @@
 
 void ServerTable::eject(Record &record, TimePoint now)
 {
-    const Duration pause = m_limits.firstEjectionTime * (1 << std::min(record.ejections, 10));
-    record.ejectedUntil = now + std::min(pause, m_limits.maxEjectionTime);
+    const Duration time = m_limits.firstEjectionTime * (1 << std::min(record.ejections, 10));
+    record.ejectedUntil = now + std::min(time, m_limits.maxEjectionTime);
     ++record.ejections;
     record.failures = 0;
 }
@@ -339,19 +341,19 @@
     record->ejectedUntil = {};
 }
 
-bool ServerTable::onCold(std::uint32_t server, Duration left, TimePoint now)
+bool ServerTable::onCold(std::uint32_t server, Duration remaining, TimePoint now)
 {
     const std::lock_guard lock(m_mutex);
     Record *record = find(server);
     if (record == nullptr)
         return false;
-    const bool known = now < record->coldUntil;
-    recordCold(*record, std::max(left, record->coldUntil - now), now);
-    std::erase_if(m_selfReportedCold, [now](const auto &told) { return told.second <= now; });
+    const bool wasCold = now < record->coldUntil;
+    recordCold(*record, std::max(remaining, record->coldUntil - now), now);
+    std::erase_if(m_selfReportedCold, [now](const auto &entry) { return entry.second <= now; });
     m_selfReportedCold[record->server.name] = record->coldUntil;
-    if (!known)
+    if (!wasCold)
         record->cooldownUntil = now + m_limits.coldCooldown;
-    return !known;
+    return !wasCold;
 }
 
 void ServerTable::setDrained(const std::string &server, bool drained)
@@ -362,14 +364,15 @@
         found->second.drained = drained;
 }
 
-// Callers need not spread evenly over the instances. Taking the others' traffic for equal to our
-// own made an instance that had all the callers see three times its load and refuse at a third of
-// the capacity; what servers report against what we have in flight there tells the real factor.
+// The traffic factor is measured because callers aren't distributed evenly over the instances. When
+// each instance assumed that all others send as much as itself, one that received all requests saw
+// three times the actual load and rejected requests at a third of the capacity. The ratio of the
+// load that servers report to what this instance has in flight there is the actual factor.
 void ServerTable::recordTraffic(double reported, double own)
 {
-    constexpr double kept = 0.9;
-    m_reportedTraffic = kept * m_reportedTraffic + (1 - kept) * reported;
-    m_ownTraffic = kept * m_ownTraffic + (1 - kept) * own;
+    constexpr double smoothing = 0.9; // weight of the previous average
+    m_reportedTraffic = smoothing * m_reportedTraffic + (1 - smoothing) * reported;
+    m_ownTraffic = smoothing * m_ownTraffic + (1 - smoothing) * own;
 }
 
 ServerStatus ServerTable::statusOf(const Record &record, TimePoint now) const
@@ -392,8 +395,8 @@
     result.senders = m_senders;
     result.remote = m_remote;
     result.list = m_listState;
-    constexpr double leastTraffic = 0.05;
-    if (m_ownTraffic > leastTraffic)
+    constexpr double minOwnTraffic = 0.05; // avoids a division by nearly zero
+    if (m_ownTraffic > minOwnTraffic)
         result.trafficFactor = std::clamp(m_reportedTraffic / m_ownTraffic, 1.0,
                                           std::max(1.0, static_cast<double>(m_senders.size())));
     for (const auto &[name, record] : m_records) {
--- a/src/entry/placement-controller.cc
+++ b/src/entry/placement-controller.cc
@@ -181,11 +181,11 @@
 void PlacementController::sendOrders()
 {
     const auto config = m_state.activeConfig.config();
-    PlacementInput question;
-    question.servers = &config->servers;
-    question.observed = &m_observed;
-    question.lease = m_lease;
-    question.now = m_state.clock.now();
+    PlacementInput input;
+    input.servers = &config->servers;
+    input.observed = &m_observed;
+    input.lease = m_lease;
+    input.now = m_state.clock.now();
     m_planner.setLoadsPerMinute(plannerLimits(m_state).loadsPerMinute);
     for (const PlacementOrder &order : m_planner.plan(input))
         send(order);
--- a/test/server-table-test.cc
+++ b/test/server-table-test.cc
@@ -46,18 +46,17 @@
 
 } // namespace
 
-// What callers see: nothing; no request is cut. In what order: a server says that it is leaving,
-// then older and younger reports of the same run arrive by way of other instances. Why: leaving is
-// kept for the run of the server, whatever any later report of that run says.
-TEST_CASE_METHOD(TableFixture, "leavingServer_anyLaterReportOfTheSameRun_staysLeaving")
+// Guards against requests to a leaving server: reports of its incarnation from before and after
+// that are still relayed by other instances, and must not make it usable again.
+TEST_CASE_METHOD(TableFixture, "leavingServer_laterReportsOfTheSameIncarnation_staysLeaving")
 {
-    rc::prop("no report brings it back", [] {
+    rc::prop("no report makes it usable", [] {
         TableFixture fixture;
         fixture.table.onReport(report(7), fixture.now);
-        const int way = *rc::gen::inRange(0, 3);
-        if (way == 0)
+        const int source = *rc::gen::inRange(0, 3);
+        if (source == 0)
             fixture.table.onReport(report(7, true), fixture.now);
-        else if (way == 1)
+        else if (source == 1)
             fixture.table.onSelfReportedLeaving("a-m");
         else
             fixture.table.onLeavingList({{"a-m", 7}});
@@ -71,7 +70,7 @@
     });
 }
 
-TEST_CASE_METHOD(TableFixture, "silentServer_heardAgain_isUsableAtOnce")
+TEST_CASE_METHOD(TableFixture, "silentServer_recovered_isUsableAtOnce")
 {
     table.onSilence(serverId("a-m"), now);
     CHECK(status() == ServerStatus::ejected);
@@ -80,10 +79,9 @@
     CHECK(status() == ServerStatus::usable);
 }
 
-// What callers see: requests lost at a server whose health check answers while it does no work. In
-// what order: silent, checked, taken back, silent again within seconds. Why: the second time the
-// check is not believed; one request has to show that the server is back.
-TEST_CASE_METHOD(TableFixture, "silentServer_silentAgainAfterAHealthCheck_needsATrial")
+// Guards against requests lost at a server that answers health checks but does no work: if it is
+// silent again within seconds of a check, only a successful request makes it usable.
+TEST_CASE_METHOD(TableFixture, "silentServer_silentSoonAfterAHealthCheck_needsATrial")
 {
     table.onSilence(serverId("a-m"), now);
     table.onRecovered(serverId("a-m"), now);
@@ -97,7 +95,7 @@
     CHECK(status() == ServerStatus::usable);
 }
 
-TEST_CASE_METHOD(TableFixture, "leavingServer_newRun_isUsable")
+TEST_CASE_METHOD(TableFixture, "leavingServer_newIncarnation_isUsable")
 {
     table.onReport(report(7, true), now);
     now += 5s;
@@ -105,10 +103,9 @@
     CHECK(status() == ServerStatus::usable);
 }
 
-// What callers see: nothing. In what order: the platform's list names a server before its first
-// load report has come in. Why: the notice is kept, and compared with the run that the report tells
-// of.
-TEST_CASE_METHOD(TableFixture, "leavingServer_listBeforeTheFirstReport_isLeaving")
+// Guards against a lost leaving notice: if it arrives before the server's first load report, it is
+// kept and compared with the incarnation of that report.
+TEST_CASE_METHOD(TableFixture, "leavingNotice_beforeTheFirstReport_isKept")
 {
     table.onLeavingList({{"a-m", 50}});
     table.onReport(report(40), now);
@@ -118,14 +115,14 @@
     CHECK(status() == ServerStatus::usable);
 }
 
-TEST_CASE_METHOD(TableFixture, "leavingServer_listOlderThanTheRun_isUsable")
+TEST_CASE_METHOD(TableFixture, "leavingNotice_olderThanTheIncarnation_isIgnored")
 {
     table.onReport(report(100), now);
     table.onLeavingList({{"a-m", 50}});
     CHECK(status() == ServerStatus::usable);
 }
 
-TEST_CASE_METHOD(TableFixture, "server_whoseProbeFailed_isUnreachableUntilOneSucceeds")
+TEST_CASE_METHOD(TableFixture, "server_failedProbe_isUnreachableUntilOneSucceeds")
 {
     LoadReport failed = report(0);
     failed.reachable = false;
@@ -136,7 +133,7 @@
     CHECK(status() == ServerStatus::usable);
 }
 
-TEST_CASE_METHOD(TableFixture, "server_thatFailsThreeTimes_isEjectedThenTriedOnce")
+TEST_CASE_METHOD(TableFixture, "server_threeFailures_isEjectedThenTriedOnce")
 {
     for (int i = 0; i < 3; ++i)
         table.onAttempt("a-m", AttemptHealth::failed, now);
@@ -152,15 +149,15 @@
     CHECK(status() == ServerStatus::usable);
 }
 
-// What callers see: one of them pays one attempt. In what order: a server's process dies under
-// steady traffic. Why: a refused connection ejects it at once.
-TEST_CASE_METHOD(TableFixture, "server_thatCannotBeReachedOnce_isEjected")
+// Guards against wasted attempts after a server's process has died: the first refused connection
+// ejects it.
+TEST_CASE_METHOD(TableFixture, "server_oneRefusedConnection_isEjected")
 {
     table.onAttempt("a-m", AttemptHealth::notConnected, now);
     CHECK(status() == ServerStatus::ejected);
 }
 
-TEST_CASE_METHOD(TableFixture, "correctedLoad_betweenReports_countsWhatWasSent")
+TEST_CASE_METHOD(TableFixture, "correctedLoad_betweenReports_countsSentRequests")
 {
     LoadReport loaded = report(7);
     loaded.running = 3;
@@ -174,7 +171,7 @@
     CHECK(correctedLoad(view, 3) == Approx(3));
 }
 
-TEST_CASE_METHOD(TableFixture, "reports_thatTravel_tellTheSameAtTheOtherEnd")
+TEST_CASE_METHOD(TableFixture, "compactLoad_receivedByAnotherTable_keepsTheValues")
 {
     LoadReport sent = report(1796000000123ULL, true);
     sent.running = 3;
@@ -192,13 +189,13 @@
     CHECK_FALSE(other.onReport(unknown, now));
 }
 
-// What callers see: no refusals while servers are free. In what order: all callers use one of three
-// instances. Why: what others send is learnt from reports, not taken to be as much as our own.
-TEST_CASE_METHOD(TableFixture, "trafficFactor_ofUnevenCallers_isLearntFromReports")
+// Guards against rejected requests while servers are free: if all callers use one of three
+// instances, it must not assume that the other two send as much as itself.
+TEST_CASE_METHOD(TableFixture, "trafficFactor_unevenCallers_followsReports")
 {
     table.setSenders({"a", "b", "c"});
     const auto counters = table.routingTable(now).servers.at(1).counters;
-    const auto learn = [&](std::uint32_t reported, int own) {
+    const auto factorAfter = [&](std::uint32_t reported, int own) {
         counters->inFlight = own;
         for (int i = 0; i < 60; ++i) {
             now += 1s;
@@ -208,13 +205,14 @@
         }
         return table.routingTable(now).trafficFactor;
     };
-    CHECK(learn(10, 10) == Approx(1));
-    CHECK(learn(10, 5) == Approx(2).epsilon(0.05));
-    CHECK(learn(40, 4) == Approx(3).epsilon(0.05));
+    CHECK(factorAfter(10, 10) == Approx(1));
+    CHECK(factorAfter(10, 5) == Approx(2).epsilon(0.05));
+    CHECK(factorAfter(40, 4) == Approx(3).epsilon(0.05));
 }
 
-// Guards against a server being sent its cold bound on top of what others sent before the check.
-TEST_CASE_METHOD(TableFixture, "coldServer_foundByACheck_restsForASecond")
+// Guards against overloading a server just found cold: the requests that other instances sent it
+// before that count towards what it can handle.
+TEST_CASE_METHOD(TableFixture, "coldServer_firstReported_hasACooldownOfASecond")
 {
     CHECK(table.onCold(serverId("a-m"), 3s, now));
     CHECK_FALSE(table.onCold(serverId("a-m"), 1s, now + 100ms));
@@ -229,9 +227,9 @@
     CHECK_FALSE(table.onCold(serverId("nobody"), 3s, now));
 }
 
-// Guards against a burst at a server that turned cold after its entry had vanished: requests must
-// see that no entry tells of it.
-TEST_CASE_METHOD(TableFixture, "listedServer_entryMissing_viewSaysSinceWhen")
+// Guards against a burst to a server that became cold after its entry was removed from the list:
+// the routing table must show that the list can't report that.
+TEST_CASE_METHOD(TableFixture, "listedServer_entryMissing_viewHoldsSinceWhen")
 {
     ListedServer entry;
     entry.server.name = "s";
@@ -252,9 +250,9 @@
     CHECK(missingSince() == now);
 }
 
-// Guards against an entry of the list that is older than what the server said itself: a region that
-// has just reached the store again reads entries from before its servers turned cold.
-TEST_CASE_METHOD(TableFixture, "coldServer_olderEntryIsReadLate_staysCold")
+// Guards against a list entry that overrides a newer report of the server itself: a region that has
+// just reached the store again reads entries from before its servers became cold.
+TEST_CASE_METHOD(TableFixture, "coldServer_olderListEntryReadLate_staysCold")
 {
     const auto listed = [](std::uint64_t revision, Duration warmup) {
         ListedServer entry;
@@ -284,14 +282,14 @@
     CHECK(coldUntil() <= now + 4s);
 }
 
-// Guards against servers of a large region of which nobody is told: each message then took the
-// first ones by name.
-TEST_CASE_METHOD(TableFixture, "takeFresh_moreServersThanAMessageTakes_tellsEachInTurn")
+// Guards against servers of a large region whose load is never shared: messages that always start
+// with the first server by name don't reach the others.
+TEST_CASE_METHOD(TableFixture, "collectNewReports_moreServersThanOneMessageHolds_sharesEachInTurn")
 {
     constexpr std::size_t servers = 146;
     constexpr std::size_t perMessage = 48;
-    constexpr int rounds = 4; // as many messages as it takes to tell all
-    constexpr int messages = 10 * rounds;
+    constexpr int messagesForAll = 4; // number of messages that hold all servers
+    constexpr int messages = 10 * messagesForAll;
     std::map<std::string, ListedServer> listed;
     for (std::size_t i = 0; i < servers; ++i) {
         ListedServer entry;
@@ -301,23 +299,23 @@
         listed[entry.server.name] = entry;
     }
     table.setListed(listed, now);
-    std::map<std::uint32_t, int> told;
+    std::map<std::uint32_t, int> shared;
     for (int i = 0; i < messages; ++i) {
         now += 250ms;
         for (const auto &[name, entry] : listed)
             table.onAnswerLoad(name, 1, 0, now);
         for (const CompactLoad &load : table.collectNewReports(now, perMessage, true))
-            ++told[load.server];
+            ++shared[load.server];
     }
-    CHECK(told.size() == servers);
-    for (const auto &[server, times] : told)
-        CHECK(times >= messages / rounds);
+    CHECK(shared.size() == servers);
+    for (const auto &[server, times] : shared)
+        CHECK(times >= messages / messagesForAll);
 }
 
 namespace {
 
-// Mean distance of what instances take a server's load for from what it is: its requests come
-// through all of them alike, a report of it every 0.75 s.
+// Returns the mean difference between the corrected and the actual load of a server whose requests
+// are distributed evenly over the instances and whose load is reported every 0.75 s.
 double meanLoadError(int instances, Random &random)
 {
     constexpr double perSecond = 8;
@@ -326,7 +324,7 @@
     std::vector<ServerView> views(static_cast<std::size_t>(instances));
     for (ServerView &view : views)
         view.counters = std::make_shared<ServerCounters>();
-    std::multimap<TimePoint, std::size_t> running; // by their ends
+    std::multimap<TimePoint, std::size_t> running; // sending instance by the time of the response
     double error = 0;
     int sent = 0;
     int round = 0;
@@ -347,22 +345,22 @@
         ++round;
         if (random.uniform() >= perSecond * seconds(step))
             continue;
-        const std::size_t by = random.below(views.size());
-        const double taken = correctedLoad(views[by], instances);
-        error += std::abs(taken - static_cast<double>(running.size()));
+        const std::size_t sender = random.below(views.size());
+        const double corrected = correctedLoad(views[sender], instances);
+        error += std::abs(corrected - static_cast<double>(running.size()));
         ++sent;
-        ++views[by].counters->inFlight;
-        ++views[by].counters->sentSinceReport;
-        running.emplace(now + answerTime, by);
+        ++views[sender].counters->inFlight;
+        ++views[sender].counters->sentSinceReport;
+        running.emplace(now + answerTime, sender);
     }
     return error / sent;
 }
 
 } // namespace
 
-// Guards against a fleet in which each instance takes full servers for empty, and empty ones for
-// full, by a single request of its own.
-TEST_CASE("correctedLoad_ofManyInstances_staysNearTheLoadThatIs")
+// Guards against a large error from extrapolation: with many instances, a single own request must
+// not make a full server look empty or an empty one full.
+TEST_CASE("correctedLoad_manyInstances_staysNearTheActualLoad")
 {
     Random random(7);
     CHECK(meanLoadError(3, random) < 3);
