--- a/include/ibisnotch/silence.h
+++ b/include/ibisnotch/silence.h
@@ -1,4 +1,4 @@
-// Tells a backend server from which nothing comes any more from one that is merely slow.
+// Distinguishes a backend server that has stopped responding from one that is only slow.
 #pragma once
 
 #include <cstdint>
@@ -8,46 +8,48 @@
 
 namespace ibisnotch {
 
-// Before a request is sent. Returns the server's turn, for recordStreamStarted and recordFinished.
+// Called before a request is sent. Returns the server's recovery epoch, which the caller passes to
+// recordStreamStarted() and recordFinished().
 std::uint32_t recordSent(ServerCounters &counters, TimePoint now);
 
-// A request's stream has begun. True if it counts, which recordFinished is to be told.
+// Called when the response to a request begins to stream. Returns whether the stream was counted,
+// which the caller passes to recordFinished().
 bool recordStreamStarted(ServerCounters &counters, std::uint32_t recoveryEpoch);
 
-// A request is over.
+// Called when a request has finished.
 void recordFinished(ServerCounters &counters, std::uint32_t recoveryEpoch, bool streamCounted);
 
-// The server is taken for sound again. What was sent before may hang for good, whatever the server
-// does now: streams that a server had lost with its power made it silent again at once after each
-// health check, until none was believed.
+// Called when the server has recovered. Starts a new recovery epoch, so that earlier requests no
+// longer count: streams that a server lost in a power failure never end, and made it silent again
+// right after each health check until it needed a trial.
 void recordRecovered(ServerCounters &counters, TimePoint now);
 
-// A byte of any answer came.
+// Called when a byte of any response arrives.
 void recordReceived(ServerCounters &counters, TimePoint now);
 
-// Whether anything came from the server within the last `span`.
+// Returns whether a byte from the server arrived within the last `span`.
 bool receivedWithin(const ServerCounters &counters, Duration span, TimePoint now);
 
-// True once a server keeps all that this instance waits for there waiting longer than a sound one
-// mostly would. What the instance waits for may be one stream, so this is no proof.
+// Returns whether no response of the server has made progress for longer than is usual at a working
+// server. This may rest on a single stream, so it doesn't prove that the server has failed.
 bool isSilent(const ServerCounters &counters, TimePoint now);
 
-// Whether to ask a silent server now if it lives, before what runs there is ended. Counts as asked
-// if so; for one caller at a time.
+// Returns whether to send a health check to a silent server now, before its requests are ended, and
+// records it as sent if so. Not safe for concurrent calls.
 bool tryAcquireHealthCheck(ServerCounters &counters, TimePoint now);
 
-// How the question ended.
+// Records the result of a health check.
 void recordHealthCheck(ServerCounters &counters, bool answered, TimePoint now);
 
-// True once a server is silent and has not answered, either, when it was asked.
+// Returns whether a server is silent and has also failed a health check since.
 bool isUnresponsive(const ServerCounters &counters, TimePoint now);
 
-// What instances of a region tell each other at once, so that those which wait for nothing there
-// send nothing there either.
+// Message by which an instance reports at once that a server has become silent or has recovered, so
+// that instances of the region that await no response from it stop sending to it too.
 struct SilenceUpdate
 {
-    std::uint32_t server = 0; // serverId of its name
-    bool silent = true; // false: heard again
+    std::uint32_t server = 0; // serverId() of its name
+    bool silent = true; // false if the server has recovered
 
     template <typename Archive> void serialize(Archive &archive) { archive(server, silent); }
     bool operator==(const SilenceUpdate &) const = default;
--- a/src/decide/silence.cc
+++ b/src/decide/silence.cc
@@ -6,13 +6,13 @@
 
 namespace {
 
-// All streams of a server pausing together: callers leave one that brings nothing for two seconds,
-// and going on elsewhere takes the better part of one.
+// Time for which all streams of a server must pause. Callers abandon a stream without data after
+// two seconds, and resuming it at another server takes most of one second.
 constexpr Duration minSilence = std::chrono::milliseconds(600);
-// A slow server's streams pause for longer than that; so many of its usual pauses show that it is
-// not merely slow.
+// Streams of a slow server pause for longer than minSilence. A pause of this many of its usual
+// intervals between events shows that it isn't only slow.
 constexpr double maxUsualIntervals = 4;
-// An answer without a stream: half of the two seconds after which callers go elsewhere.
+// Wait for a response that doesn't stream: half of the two seconds after which callers leave.
 constexpr Duration maxAnswerWait = std::chrono::milliseconds(1000);
 constexpr Duration healthCheckInterval = std::chrono::milliseconds(300);
 
@@ -22,8 +22,8 @@
     return std::max(minSilence, std::chrono::duration_cast<Duration>(pauses));
 }
 
-// One or two streams pause together by chance, on a server whose others go on; an instance of a
-// large region has no more there. What the server answered to others tells.
+// In a large region an instance has only one or two streams at a server, and these may pause by
+// chance. Responses to other instances, known from load reports, therefore count as activity too.
 Duration::rep lastActivity(const ServerCounters &counters)
 {
     return std::max({counters.lastReceivedAt.load(), counters.waitingSince.load(),
@@ -47,8 +47,8 @@
     return counts;
 }
 
-// A turn that rises in between leaves a count one too low until the next turn: one request less is
-// heeded, none is taken for one that hangs.
+// If the epoch rises between the check and the decrement, the counts are one too low until the next
+// epoch. Then one request isn't counted, but none is mistaken for one that hangs.
 void recordFinished(ServerCounters &counters, std::uint32_t recoveryEpoch, bool streamCounted)
 {
     if (counters.recoveryEpoch != recoveryEpoch)
@@ -79,9 +79,9 @@
 {
     if (counters.awaitedRequests <= 0)
         return false;
-    // First tokens say nothing: at a full engine they take seconds, and taking 1 s for silence had
-    // instances drop sound engines. Of an engine that is just back in use and has sent nothing yet,
-    // they do: it is not full, and the check that brought it back may have lied.
+    // Missing first tokens don't show silence: at a full engine they take seconds, and with a limit
+    // of 1 s instances ejected working engines. They do show it at an engine that has sent nothing
+    // since it recovered: it isn't full, and it may pass health checks without doing any work.
     const bool receivedSinceRecovery = counters.lastReceivedAt >= counters.recoveredAt;
     const bool firstTokensOnly = counters.awaitedStreams <= 0 && counters.awaitingFirstToken > 0;
     if (firstTokensOnly && receivedSinceRecovery)
@@ -93,8 +93,8 @@
 
 bool tryAcquireHealthCheck(ServerCounters &counters, TimePoint now)
 {
-    const TimePoint asked{Duration(counters.healthCheckSentAt.load())};
-    if (!isSilent(counters, now) || now - asked < healthCheckInterval)
+    const TimePoint sentAt{Duration(counters.healthCheckSentAt.load())};
+    if (!isSilent(counters, now) || now - sentAt < healthCheckInterval)
         return false;
     counters.healthCheckSentAt = now.time_since_epoch().count();
     return true;
@@ -108,8 +108,8 @@
 
 bool isUnresponsive(const ServerCounters &counters, TimePoint now)
 {
-    const auto sign = std::max(lastActivity(counters), counters.healthCheckPassedAt.load());
-    return isSilent(counters, now) && counters.healthCheckFailedAt > sign;
+    const auto lastSign = std::max(lastActivity(counters), counters.healthCheckPassedAt.load());
+    return isSilent(counters, now) && counters.healthCheckFailedAt > lastSign;
 }
 
 } // namespace ibisnotch
--- a/test/silence-test.cc
+++ b/test/silence-test.cc
@@ -25,16 +25,14 @@
 
 } // namespace
 
-TEST_CASE_METHOD(SilenceFixture, "silence_nothingUnderWay_isNotSilent")
+TEST_CASE_METHOD(SilenceFixture, "silence_noRequestInFlight_isNotSilent")
 {
     recordFinished(counters, beginStream(), true);
     CHECK_FALSE(isSilent(counters, now + 10s));
 }
 
-// What callers see: requests sent to a server that has lost power are lost one after the other,
-// each at the end of its time. In what order: streams run there, all stop at once, new requests are
-// still sent. Why: the pause of all of them together tells within 600 ms what each alone would tell
-// in seconds.
+// Guards against requests sent to a server that has lost power. A single stream shows that only
+// after seconds; a pause of all streams at once shows it within 600 ms.
 TEST_CASE_METHOD(SilenceFixture, "silence_allStreamsPause_isSilentWithinTheirLongestPause")
 {
     beginStream();
@@ -45,9 +43,9 @@
     CHECK_FALSE(isSilent(counters, now + 700ms));
 }
 
-// Guards against a stream that is ended on a sound server of a large region: its instance has no
-// other there, and takes the pause of this one for the server's.
-TEST_CASE_METHOD(SilenceFixture, "silence_serverAnswersOthersMeanwhile_isNotSilent")
+// Guards against ending a stream at a working server of a large region, where an instance may have
+// a single stream and mistake its pause for silence of the server.
+TEST_CASE_METHOD(SilenceFixture, "silence_serverRespondsToOtherInstances_isNotSilent")
 {
     beginStream();
     counters.lastAnsweredAt = (now + 500ms).time_since_epoch().count();
@@ -55,8 +53,8 @@
     CHECK(isSilent(counters, now + 1100ms));
 }
 
-// Guards against a stream that is ended at a sound server for its pause.
-TEST_CASE_METHOD(SilenceFixture, "silence_serverAnswersWhenAsked_isNotUnresponsive")
+// Guards against ending a stream at a working server only because the stream pauses.
+TEST_CASE_METHOD(SilenceFixture, "silence_healthCheckPassed_isNotUnresponsive")
 {
     beginStream();
     CHECK_FALSE(tryAcquireHealthCheck(counters, now + 500ms));
@@ -67,7 +65,7 @@
     CHECK(tryAcquireHealthCheck(counters, now + 910ms));
 }
 
-TEST_CASE_METHOD(SilenceFixture, "silence_serverDoesNotAnswerWhenAsked_isUnresponsive")
+TEST_CASE_METHOD(SilenceFixture, "silence_healthCheckFailed_isUnresponsive")
 {
     beginStream();
     CHECK(tryAcquireHealthCheck(counters, now + 600ms));
@@ -76,8 +74,9 @@
     CHECK(isUnresponsive(counters, now + 900ms));
 }
 
-// Guards against a question of an earlier silence that counts for the next one.
-TEST_CASE_METHOD(SilenceFixture, "silence_heardSinceTheQuestion_isNotUnresponsiveUntilAskedAgain")
+// Guards against a failed health check of an earlier silence that counts for the next one.
+TEST_CASE_METHOD(SilenceFixture,
+                 "silence_dataSinceTheHealthCheck_isNotUnresponsiveUntilTheNextFails")
 {
     beginStream();
     CHECK(tryAcquireHealthCheck(counters, now + 600ms));
@@ -90,8 +89,8 @@
     CHECK(isUnresponsive(counters, now + 1400ms));
 }
 
-// What callers see: at a peak, first tokens come after seconds, but they come. Why: an engine that
-// reads prompts for others is not silent, and taking it out of use sends its load to the rest.
+// Guards against ejecting an engine whose first tokens are late only because it reads the prompts
+// of other requests; ejecting it would move its load to the remaining engines.
 TEST_CASE_METHOD(SilenceFixture, "silence_onlyFirstTokensAwaited_isNotSilent")
 {
     send();
@@ -99,14 +98,14 @@
     CHECK_FALSE(isSilent(counters, now + 5s));
 }
 
-TEST_CASE_METHOD(SilenceFixture, "silence_noAnswerOfAPlainService_isSilentAfterASecond")
+TEST_CASE_METHOD(SilenceFixture, "silence_noResponseWithoutStream_isSilentAfterASecond")
 {
     send();
     CHECK_FALSE(isSilent(counters, now + 900ms));
     CHECK(isSilent(counters, now + 1s));
 }
 
-TEST_CASE_METHOD(SilenceFixture, "silence_sentAfterALongRest_countsFromTheSend")
+TEST_CASE_METHOD(SilenceFixture, "silence_sentAfterIdleTime_countsFromTheSend")
 {
     recordFinished(counters, beginStream(), true);
     now += 20s;
@@ -114,11 +113,9 @@
     CHECK_FALSE(isSilent(counters, now + 900ms));
 }
 
-// What callers see: a server that is back gets no request that may run once, for a minute. In what
-// order: it loses power, its streams hang; it is back and answers a health check; the hung streams,
-// which their callers still wait for, make it silent again; its next check is not believed. Why:
-// what was sent before the check says nothing of the server as it is now.
-TEST_CASE_METHOD(SilenceFixture, "silence_streamsHangSinceBefore_sayNothingOnceTheServerIsBack")
+// Guards against a recovered server that is ejected for a minute: streams that it lost in a power
+// failure hang while their callers wait, and must not make it silent again after a health check.
+TEST_CASE_METHOD(SilenceFixture, "silence_streamsHungBeforeRecovery_areNotCounted")
 {
     const std::uint32_t hung = beginStream();
     CHECK(isSilent(counters, now + 600ms));
@@ -131,10 +128,9 @@
     CHECK(isSilent(counters, now + 600ms));
 }
 
-// What callers see: prompts sent to a server that is still dark. In what order: a health check
-// lies, prompts are sent, nothing comes. Why: late first tokens are taken for a full engine, which
-// one that was just given back is not.
-TEST_CASE_METHOD(SilenceFixture, "silence_nothingHeardSinceItIsBack_isSilentDespiteFirstTokens")
+// Guards against prompts sent to a failed server that passes a health check: first tokens that are
+// late because an engine is full must not be assumed at one that has just recovered.
+TEST_CASE_METHOD(SilenceFixture, "silence_noDataSinceRecovery_isSilentDespiteFirstTokens")
 {
     beginStream();
     now += 1s;
@@ -147,8 +143,8 @@
     CHECK_FALSE(isSilent(counters, now + 3s));
 }
 
-// Why: a server that works several times as slowly makes its events that much further apart.
-TEST_CASE_METHOD(SilenceFixture, "silence_slowServer_isGivenSomeOfItsUsualPauses")
+// Guards against ejecting a slow server, whose streams pause for longer between events.
+TEST_CASE_METHOD(SilenceFixture, "silence_slowServer_isSilentAfterFourUsualIntervals")
 {
     beginStream();
     counters.eventIntervalSeconds = 0.3;
