--- a/include/ibisnotch/warmup.h
+++ b/include/ibisnotch/warmup.h
@@ -1,4 +1,5 @@
-// How much of what a cold backend server bears falls to one instance.
+// How many requests one instance may send to a backend server that is cold, or possibly cold
+// because its list entry isn't current.
 #pragma once
 
 #include <cstdint>
@@ -14,75 +15,78 @@
 
 struct WarmupBound
 {
-    double factor = 1; // of the pool's warm-up rate
-    double slack = 0; // requests a second beside that
+    double factor = 1; // times the pool's warm-up rate
+    double slack = 0; // additional requests per second
     bool operator==(const WarmupBound &) const = default;
 };
 
-// The time that this instance must leave between two of its requests to the server; empty if others
-// may use up all that the server bears. Returning servers crash when every instance takes them for
-// the least loaded and sends at once, so what one bears in a second is dealt out: to a few senders,
-// the same ones from everyone's view, whole requests each.
+// Returns the minimum time between two requests of this instance to a cold server; empty if the
+// server's rate is assigned to other instances. A restarted server crashes if every instance
+// considers it the least loaded and sends at once. Therefore the requests that it can handle per
+// second are assigned to a few senders, a whole number each; all instances compute the same
+// assignment.
 std::optional<Duration> warmupInterval(double rate, const WarmupBound &bound,
                                        const std::vector<std::string> &senders,
                                        const std::string &self, const std::string &server);
 
-// Whether one request may be sent now to a server that this instance has taken for cold since
-// `coldSince`. What was sent shortly before that may have met a server that was cold already, so it
-// counts against the bound too.
-bool canSendWarmupRequest(const ServerCounters &counters, Duration pause, TimePoint coldSince,
+// Returns whether one request may be sent now to a server that this instance has known to be cold
+// since `coldSince`. The server may have been cold shortly before that, so requests sent then count
+// towards the bound too.
+bool canSendWarmupRequest(const ServerCounters &counters, Duration interval, TimePoint coldSince,
                           TimePoint now);
 
-// Takes the right to do so. False if another thread took it in between.
-bool tryAcquireWarmupRequest(ServerCounters &counters, Duration pause, TimePoint coldSince,
+// Acquires the right to send such a request. Returns false if another thread acquired it first.
+bool tryAcquireWarmupRequest(ServerCounters &counters, Duration interval, TimePoint coldSince,
                              TimePoint now);
 
-// Since when a server may have turned cold unnoticed, as nobody has confirmed the list for so long
-// or the server's entry is missing from it; the server itself is then asked. Empty: the list tells.
+// Returns since when the server may have become cold without the list showing it, because the list
+// hasn't been confirmed within its maxAge or the server's entry is missing. Status checks of the
+// server replace the list then. Empty if the list is current.
 std::optional<TimePoint> possiblyColdSince(const ListState &list, const ServerView &view,
                                            TimePoint now);
 
-// How many requests this instance may send to a server that may have turned cold, from one look at
-// it to the next: none if others may use up all that a cold one bears, empty if it is never cold.
-// Dealt out to a few senders, so that what reaches a cold server stays within that however late the
-// next look is answered.
+// Returns how many requests this instance may send to a possibly cold server between two status
+// checks: 0 if the server's rate is assigned to other instances, empty if its pool has no warm-up
+// rate. The number is limited so that a server that did become cold gets no more than it can
+// handle, however late the next check is answered.
 std::optional<std::size_t> possiblyColdShare(const RoutingTable &table, const WarmupBound &bound,
                                              const std::string &self, const BackendServer &server);
 
-// Whether a look since then has found the server warm and the share is not used up.
+// Returns whether a status check since `possiblyColdSince` has found the server warm and the share
+// isn't used up.
 bool canSendPossiblyCold(const ServerCounters &counters, std::size_t share,
                          TimePoint possiblyColdSince);
 
-// Takes the right to do so. False if another thread took it in between.
+// Acquires the right to send one request to it. Returns false if the share is used up.
 bool tryAcquirePossiblyCold(ServerCounters &counters, std::size_t share,
                             TimePoint possiblyColdSince);
 
-// Whether the server has to be looked at before it may get more.
+// Returns whether the server needs a status check before the full share is available to it again.
 bool needsStatusCheck(const ServerCounters &counters, TimePoint possiblyColdSince);
 
-// A look was answered by a warm server; `sentBefore` is possiblyColdSent when it was sent.
+// Records a status check that found the server warm; `sentBefore` is the value of possiblyColdSent
+// when the check was sent.
 void recordWarm(ServerCounters &counters, std::uint32_t sentBefore, TimePoint now);
 
-// A server that may have turned cold, as one instance sees it.
+// A possibly cold server, as seen by one instance.
 struct PossiblyColdServer
 {
-    TimePoint lastSentAt{}; // this instance's last request to it
-    bool hasShare = false; // a share of what it bears falls to this instance
-    bool ready = false; // it may get a request now
+    TimePoint lastSentAt{}; // when this instance last sent a request to it
+    bool hasShare = false; // part of its rate is assigned to this instance
+    bool ready = false; // a request may be sent to it now
     bool operator==(const PossiblyColdServer &) const = default;
 };
 
-// Which of them may get a request now, by index. If none, one may soon, after a look, unless there
-// are no servers.
 struct PossiblyColdChoice
 {
-    std::vector<std::size_t> ready;
-    bool wait = false;
+    std::vector<std::size_t> ready; // indexes of the servers that may get a request now
+    bool wait = false; // a server becomes ready soon, after a status check
     bool operator==(const PossiblyColdChoice &) const = default;
 };
 
-// An instance to which none of the servers falls may use the one that has rested longest: a refusal
-// would be certain harm.
+// Returns the servers that are ready, or else whether to wait for a status check. If this instance
+// has a share of none, it returns the server to which it hasn't sent for the longest time, since
+// rejecting the request would certainly harm the caller.
 PossiblyColdChoice choosePossiblyCold(std::span<const PossiblyColdServer> servers);
 
 } // namespace ibisnotch
--- a/src/decide/warmup.cc
+++ b/src/decide/warmup.cc
@@ -9,9 +9,9 @@
 
 namespace {
 
-// Requests that leave a second apart may arrive a little closer.
+// Requests sent one second apart may arrive slightly closer together.
 constexpr double jitterFactor = 1.06;
-// Within which a cold server's requests are counted.
+// Time within which the requests to a cold server are counted: one second and the jitter.
 constexpr auto window
     = std::chrono::duration_cast<Duration>(std::chrono::duration<double>(jitterFactor));
 
@@ -20,11 +20,12 @@
     return static_cast<std::size_t>(std::floor(rate * bound.factor + bound.slack));
 }
 
-// How many of the whole requests fall to this instance: the same for some senders, none for others.
+// Returns how many of `total` requests are assigned to this instance. The first senders in the
+// rendezvous order of the server get the same number each, the others none.
 std::size_t requestsForInstance(const std::string &self, const std::vector<std::string> &senders,
-                                const std::string &server, std::size_t whole)
+                                const std::string &server, std::size_t total)
 {
-    if (whole == 0)
+    if (total == 0)
         return 0;
     const std::uint64_t hash = hash64(server);
     const std::uint64_t own = rendezvousWeight(self, hash);
@@ -32,16 +33,17 @@
         std::count_if(senders.begin(), senders.end(), [&](const std::string &name) {
             return name != self && rendezvousWeight(name, hash) > own;
         }));
-    const std::size_t sharing = std::min(std::max<std::size_t>(senders.size(), 1), whole);
-    return ahead >= sharing ? 0 : whole / sharing;
+    const std::size_t senderCount = std::min(std::max<std::size_t>(senders.size(), 1), total);
+    return ahead >= senderCount ? 0 : total / senderCount;
 }
 
-bool canSendAfter(Duration::rep last, Duration pause, TimePoint coldSince, TimePoint now)
+// `last` is the time of the previous request; 0 if there was none.
+bool canSendAfter(Duration::rep last, Duration interval, TimePoint coldSince, TimePoint now)
 {
     if (last == 0)
         return true;
     const TimePoint lastSentAt{Duration(last)};
-    return now - lastSentAt >= (lastSentAt < coldSince ? std::max(pause, window) : pause);
+    return now - lastSentAt >= (lastSentAt < coldSince ? std::max(interval, window) : interval);
 }
 
 } // namespace
@@ -50,17 +52,17 @@
                                        const std::vector<std::string> &senders,
                                        const std::string &self, const std::string &server)
 {
-    const std::size_t each
+    const std::size_t requests
         = requestsForInstance(self, senders, server, requestsPerWindow(rate, bound));
-    if (each == 0)
+    if (requests == 0)
         return std::nullopt;
-    return window / each;
+    return window / requests;
 }
 
-bool canSendWarmupRequest(const ServerCounters &counters, Duration pause, TimePoint coldSince,
+bool canSendWarmupRequest(const ServerCounters &counters, Duration interval, TimePoint coldSince,
                           TimePoint now)
 {
-    return canSendAfter(counters.lastSentAt, pause, coldSince, now);
+    return canSendAfter(counters.lastSentAt, interval, coldSince, now);
 }
 
 std::optional<TimePoint> possiblyColdSince(const ListState &list, const ServerView &view,
@@ -80,15 +82,15 @@
     const auto pool = table.config->pools.find(server.pool);
     if (pool == table.config->pools.end() || pool->second.warmupRate <= 0)
         return std::nullopt;
-    const std::size_t whole = requestsPerWindow(pool->second.warmupRate, bound);
-    return requestsForInstance(self, table.senders, server.name, std::max<std::size_t>(whole, 1));
+    const std::size_t total = requestsPerWindow(pool->second.warmupRate, bound);
+    return requestsForInstance(self, table.senders, server.name, std::max<std::size_t>(total, 1));
 }
 
 bool canSendPossiblyCold(const ServerCounters &counters, std::size_t share,
                          TimePoint possiblyColdSince)
 {
-    const bool found = TimePoint(Duration(counters.confirmedWarmAt.load())) > possiblyColdSince;
-    return found && counters.possiblyColdSent - counters.possiblyColdVerified < share;
+    const bool foundWarm = TimePoint(Duration(counters.confirmedWarmAt.load())) > possiblyColdSince;
+    return foundWarm && counters.possiblyColdSent - counters.possiblyColdVerified < share;
 }
 
 bool tryAcquirePossiblyCold(ServerCounters &counters, std::size_t share,
@@ -104,8 +106,8 @@
 
 bool needsStatusCheck(const ServerCounters &counters, TimePoint possiblyColdSince)
 {
-    const bool found = TimePoint(Duration(counters.confirmedWarmAt.load())) > possiblyColdSince;
-    return !found || counters.possiblyColdSent != counters.possiblyColdVerified;
+    const bool foundWarm = TimePoint(Duration(counters.confirmedWarmAt.load())) > possiblyColdSince;
+    return !foundWarm || counters.possiblyColdSent != counters.possiblyColdVerified;
 }
 
 void recordWarm(ServerCounters &counters, std::uint32_t sentBefore, TimePoint now)
@@ -116,30 +118,30 @@
 
 PossiblyColdChoice choosePossiblyCold(std::span<const PossiblyColdServer> servers)
 {
-    PossiblyColdChoice answer;
+    PossiblyColdChoice choice;
     std::size_t longestIdle = 0;
     for (std::size_t i = 0; i < servers.size(); ++i) {
         if (servers[i].ready)
-            answer.ready.push_back(i);
+            choice.ready.push_back(i);
         if (servers[i].lastSentAt < servers[longestIdle].lastSentAt)
             longestIdle = i;
     }
-    if (!answer.ready.empty() || servers.empty())
-        return answer;
-    answer.wait = std::any_of(servers.begin(), servers.end(),
+    if (!choice.ready.empty() || servers.empty())
+        return choice;
+    choice.wait = std::any_of(servers.begin(), servers.end(),
                               [](const PossiblyColdServer &server) { return server.hasShare; });
-    if (!answer.wait)
-        answer.ready.push_back(longestIdle);
-    return answer;
+    if (!choice.wait)
+        choice.ready.push_back(longestIdle);
+    return choice;
 }
 
-bool tryAcquireWarmupRequest(ServerCounters &counters, Duration pause, TimePoint coldSince,
+bool tryAcquireWarmupRequest(ServerCounters &counters, Duration interval, TimePoint coldSince,
                              TimePoint now)
 {
     Duration::rep last = counters.lastSentAt;
     const Duration::rep at = now.time_since_epoch().count();
     do {
-        if (!canSendAfter(last, pause, coldSince, now))
+        if (!canSendAfter(last, interval, coldSince, now))
             return false;
     } while (!counters.lastSentAt.compare_exchange_weak(last, at));
     return true;
--- a/test/warmup-test.cc
+++ b/test/warmup-test.cc
@@ -22,9 +22,8 @@
 
 } // namespace
 
-// What callers see: a server that crashes again just as it returns. In what order: it is listed
-// cold, every instance takes it for the least loaded, each sends what would be its part of a warm
-// one. Why: what a cold server bears is a count for all instances together.
+// Guards against a restarted server that crashes again because every instance considers it the
+// least loaded: the rate of a cold server is a limit for all instances together.
 TEST_CASE("warmupInterval_sendersThatAlwaysSend_stayWithinTheBoundTogether")
 {
     rc::prop("in any second", [] {
@@ -38,8 +37,8 @@
             while (!sent.empty() && now - sent.front() > 1s)
                 sent.pop_front();
             for (std::size_t i = 0; i < senders.size(); ++i) {
-                const auto pause = warmupInterval(rate, bound, senders, senders[i], "server");
-                if (pause && tryAcquireWarmupRequest(counters[i], *pause, TimePoint{}, now))
+                const auto interval = warmupInterval(rate, bound, senders, senders[i], "server");
+                if (interval && tryAcquireWarmupRequest(counters[i], *interval, TimePoint{}, now))
                     sent.push_back(now);
             }
             RC_ASSERT(static_cast<double>(sent.size()) <= rate * bound.factor + bound.slack);
@@ -55,31 +54,31 @@
     CHECK(warmupInterval(2, {1, 0}, {"a"}, "a", "server") == 530ms);
 }
 
-// Guards against a server that turned cold and gets its bound on top of what was sent before the
-// news.
+// Guards against a cold server that gets its full rate in addition to what was sent before
+// instances learned that it is cold.
 TEST_CASE("tryAcquireWarmupRequest_lateColdUpdate_countsRequestsSentBefore")
 {
     rc::prop("in any second since it turned cold", [] {
         const WarmupBound bound{1.5, 3};
         const double rate = 2.4;
         const auto senders = names(3);
-        const TimePoint cold{2s};
-        const TimePoint known = cold + std::chrono::milliseconds(*rc::gen::inRange(0, 200));
+        const TimePoint coldAt{2s};
+        const TimePoint knownAt = coldAt + std::chrono::milliseconds(*rc::gen::inRange(0, 200));
         std::vector<ServerCounters> counters(senders.size());
         std::deque<TimePoint> sent;
-        // Up to two requests of each sender reach it before the news.
-        std::vector<int> unaware(senders.size(), 0);
+        // Each sender sends up to two requests before it knows.
+        std::vector<int> sentUnaware(senders.size(), 0);
         for (TimePoint now{1s}; now < TimePoint{6s}; now += 10ms) {
             while (!sent.empty() && now - sent.front() > 1s)
                 sent.pop_front();
             for (std::size_t i = 0; i < senders.size(); ++i) {
-                const auto pause = warmupInterval(rate, bound, senders, senders[i], "server");
-                const bool sends = now < known
-                    ? now >= cold && unaware[i] < 2 && *rc::gen::inRange(0, 4) == 0
-                    : pause && tryAcquireWarmupRequest(counters[i], *pause, known, now);
+                const auto interval = warmupInterval(rate, bound, senders, senders[i], "server");
+                const bool sends = now < knownAt
+                    ? now >= coldAt && sentUnaware[i] < 2 && *rc::gen::inRange(0, 4) == 0
+                    : interval && tryAcquireWarmupRequest(counters[i], *interval, knownAt, now);
                 if (!sends)
                     continue;
-                unaware[i] += now < known ? 1 : 0;
+                sentUnaware[i] += now < knownAt ? 1 : 0;
                 recordSent(counters[i], now);
                 sent.push_back(now);
             }
@@ -110,38 +109,39 @@
 
 } // namespace
 
-// Guards against a burst of a large region that reaches a server between its turning cold and the
-// next look at it, however late that is answered.
+// Guards against a burst from a large region to a server that has become cold since its last status
+// check, however late the next check is answered.
 TEST_CASE("possiblyColdShare_burstOfAllSenders_staysWithinTheBoundUntilEachHasChecked")
 {
-    rc::prop("whatever the looks take", [] {
-        // A few senders get more than one request each, of which one may be sent during a look.
-        const int mostSenders = *rc::gen::element(3, 100);
-        const PossiblyColdFixture fixture(*rc::gen::inRange(1, mostSenders + 1));
+    rc::prop("however long the checks take", [] {
+        // A few senders get more than one request each, of which one may be sent during a check.
+        const int maxSenders = *rc::gen::element(3, 100);
+        const PossiblyColdFixture fixture(*rc::gen::inRange(1, maxSenders + 1));
         const TimePoint since = fixture.table.list.confirmedAt + fixture.table.list.maxAge;
-        const TimePoint cold = since + 2s;
+        const TimePoint coldAt = since + 2s;
         int sentWhileCold = 0;
         for (const std::string &sender : fixture.table.senders) {
             const auto share
                 = possiblyColdShare(fixture.table, fixture.bound, sender, fixture.server);
             RC_ASSERT(share.has_value());
             ServerCounters counters;
-            std::optional<std::pair<TimePoint, std::uint32_t>> look; // and what was sent before it
-            Duration way{};
-            for (TimePoint now = since; now < cold + 1s; now += 20ms) {
-                if (look && now >= look->first + way) {
-                    // It shows the server as it was half way.
-                    if (look->first + way / 2 >= cold)
+            // Time of the status check and number of requests sent before it.
+            std::optional<std::pair<TimePoint, std::uint32_t>> check;
+            Duration roundTrip{};
+            for (TimePoint now = since; now < coldAt + 1s; now += 20ms) {
+                if (check && now >= check->first + roundTrip) {
+                    // The server answers after half of the round trip.
+                    if (check->first + roundTrip / 2 >= coldAt)
                         break;
-                    recordWarm(counters, look->second, now);
-                    look.reset();
+                    recordWarm(counters, check->second, now);
+                    check.reset();
                 }
-                if (!look && needsStatusCheck(counters, since)) {
-                    look.emplace(now, counters.possiblyColdSent.load());
-                    way = std::chrono::milliseconds(*rc::gen::inRange(1, 400));
+                if (!check && needsStatusCheck(counters, since)) {
+                    check.emplace(now, counters.possiblyColdSent.load());
+                    roundTrip = std::chrono::milliseconds(*rc::gen::inRange(1, 400));
                 }
                 if (*rc::gen::inRange(0, 3) > 0 && tryAcquirePossiblyCold(counters, *share, since))
-                    sentWhileCold += now >= cold ? 1 : 0;
+                    sentWhileCold += now >= coldAt ? 1 : 0;
             }
         }
         RC_ASSERT(sentWhileCold <= 6);
@@ -156,7 +156,7 @@
     CHECK_FALSE(possiblyColdShare(fixture.table, fixture.bound, "entry-0", fixture.server));
 }
 
-// Guards against taking a server for warm by a look from before the list grew old.
+// Guards against considering a server warm by a status check from before the list became outdated.
 TEST_CASE("canSendPossiblyCold_checkBeforeTheListGotOld_doesNotCount")
 {
     ServerCounters counters;
@@ -171,13 +171,14 @@
     CHECK(needsStatusCheck(counters, TimePoint{1h}));
 }
 
-// Guards against a refusal while a look is under way, and against one for want of an own server.
+// Guards against rejecting a request while a status check is in progress, or because this instance
+// has a share of no server.
 TEST_CASE("choosePossiblyCold_noServerReady_waitsOrChoosesTheLongestIdle")
 {
     const TimePoint now{1h};
     CHECK(choosePossiblyCold({}) == PossiblyColdChoice{});
-    const std::vector<PossiblyColdServer> looked{{now, true, false}, {now, true, true}};
-    CHECK(choosePossiblyCold(looked) == PossiblyColdChoice{{1}, false});
+    const std::vector<PossiblyColdServer> checked{{now, true, false}, {now, true, true}};
+    CHECK(choosePossiblyCold(checked) == PossiblyColdChoice{{1}, false});
     const std::vector<PossiblyColdServer> used{{now, false, false}, {now, true, false}};
     CHECK(choosePossiblyCold(used) == PossiblyColdChoice{{}, true});
     const std::vector<PossiblyColdServer> others{{now - 1s, false, false},
@@ -187,20 +188,20 @@
 
 TEST_CASE("possiblyColdSince_listNotConfirmedWithinItsMaxAge_startsAtItsMaxAge")
 {
-    const TimePoint heard{1h};
-    CHECK_FALSE(possiblyColdSince({7, TimePoint{}}, {}, heard));
-    CHECK_FALSE(possiblyColdSince({7, heard}, {}, heard + 4s));
-    CHECK(possiblyColdSince({7, heard}, {}, heard + 6s) == heard + 5s);
-    CHECK(possiblyColdSince({7, heard, 2s}, {}, heard + 3s) == heard + 2s);
+    const TimePoint confirmed{1h};
+    CHECK_FALSE(possiblyColdSince({7, TimePoint{}}, {}, confirmed));
+    CHECK_FALSE(possiblyColdSince({7, confirmed}, {}, confirmed + 4s));
+    CHECK(possiblyColdSince({7, confirmed}, {}, confirmed + 6s) == confirmed + 5s);
+    CHECK(possiblyColdSince({7, confirmed, 2s}, {}, confirmed + 3s) == confirmed + 2s);
 }
 
-// Guards against a burst at a server that turned cold after its entry had vanished, while the list
-// is confirmed all the time.
+// Guards against a burst to a server that became cold after its entry was removed, while the list
+// itself is confirmed all the time.
 TEST_CASE("possiblyColdSince_entryMissingFromACurrentList_startsAtItsRemoval")
 {
-    const TimePoint heard{1h};
+    const TimePoint confirmed{1h};
     ServerView view;
-    view.missingSince = heard - 1s;
-    CHECK(possiblyColdSince({7, heard}, view, heard) == heard - 1s);
-    CHECK(possiblyColdSince({7, heard}, view, heard + 6s) == heard - 1s);
+    view.missingSince = confirmed - 1s;
+    CHECK(possiblyColdSince({7, confirmed}, view, confirmed) == confirmed - 1s);
+    CHECK(possiblyColdSince({7, confirmed}, view, confirmed + 6s) == confirmed - 1s);
 }
