--- a/include/ibisnotch/pick.h
+++ b/include/ibisnotch/pick.h
@@ -1,4 +1,4 @@
-// Which backend server of the region runs a request.
+// Policies that pick the backend server of the region to which a request is sent.
 #pragma once
 
 #include <atomic>
@@ -14,51 +14,53 @@
 
 namespace ibisnotch {
 
+// A backend server that may run the request.
 struct Candidate
 {
     const ServerView *view = nullptr;
-    double load = 0; // corrected
+    double load = 0; // see correctedLoad()
     double slots = 1;
-    // Model engines only:
-    double readDelaySeconds = 0; // seconds before a prompt sent now is read
-    double tokensPerMs = 0; // at which it reads; 0: not known
-    double eventIntervalSeconds = 0; // between two events of a stream; 0: not known
+
+    // Set by addEngineEstimates() for model engines only.
+    double readDelaySeconds = 0; // time until the engine begins to read a prompt sent now
+    double tokensPerMs = 0; // rate at which it reads prompts; 0 if unknown
+    double eventIntervalSeconds = 0; // between two events of a stream; 0 if unknown
 };
 
-// The servers that may run a request for a service, without those tried already. A pool, if named,
-// leaves out the servers of the service's other pools.
+// Returns the servers that may run a request for the service, except those in `tried`. If `pool`
+// isn't empty, only servers of that pool are returned.
 std::vector<Candidate> candidatesForService(const RoutingTable &table, const Service &service,
                                             const std::set<std::string> &tried,
                                             const std::string &pool = {});
 
-// Fills in how fast model engines read, how long a prompt sent now would wait, and how fast streams
-// go. First tokens show a rate from below, so the best one of the pool counts for all its engines.
-// An engine whose queue has shown no pace yet is taken for the average of those that have; without
-// any, each that waits counts as a prompt of `meanTokens`.
+// Sets the reading rate, read delay and event interval of model engines. First tokens give a lower
+// bound of the reading rate, so the highest rate of all candidates is used for each of them. An
+// engine without a measured delay per waiting request gets the mean of the others; if none is
+// measured, each waiting request counts as a prompt of `meanTokens`.
 void addEngineEstimates(std::vector<Candidate> &candidates, double meanTokens, TimePoint now);
 
-// Leaves out servers that are cold: they bear a few requests a second, not what their slots say.
+// Removes cold servers. They handle only a few requests per second, whatever their number of slots.
 void removeCold(std::vector<Candidate> &candidates, TimePoint now);
 
-// The servers of a pool that may run requests.
+// Returns the servers of a pool that may run requests.
 std::vector<Candidate> candidatesForPool(const RoutingTable &table, const std::string &pool);
 
 struct PickInput
 {
-    std::span<const Candidate> candidates;
-    // Requests with the same prefix share a cache entry; 0 for none.
-    std::uint64_t prefix = 0;
-    // Of the shared parts, which only the server of that prefix need not read.
+    std::span<const Candidate> candidates; // must not be empty
+    // Requests with the same hash share an entry of the prompt cache; 0 if there is none.
+    std::uint64_t prefixHash = 0;
+    // Time in which a server reads the shared prefix if it isn't in its cache.
     double sharedReadSeconds = 0;
     Weights weights;
-    double expectedSeconds = 0.1;
+    double expectedSeconds = 0.1; // expected duration of the request
 };
 
 class Picker
 {
 public:
     virtual ~Picker() = default;
-    // The index of a candidate. The candidates must not be empty. Thread safe.
+    // Returns the index of a candidate. Thread safe.
     virtual std::size_t pick(const PickInput &input, Random &random) = 0;
 };
 
@@ -77,22 +79,23 @@
     std::atomic<std::size_t> m_next = 0;
 };
 
-// The least load by the last report, uncorrected: the baseline that herds.
+// Picks the lowest load of the last reports without correction, so between two reports all requests
+// go to the same server. Serves as a baseline in experiments.
 class LeastReportedPicker final : public Picker
 {
 public:
     std::size_t pick(const PickInput &input, Random &random) override;
 };
 
-// Two at random, the less loaded of them by the corrected load.
+// Picks the better of two random candidates by wait, corrected load and cost.
 class TwoChoicesPicker final : public Picker
 {
 public:
     std::size_t pick(const PickInput &input, Random &random) override;
 };
 
-// The servers in the rendezvous order of the prefix, taken while their load stays within a bound;
-// then two choices. Cost decides between servers of the same load.
+// Picks among the first servers in the rendezvous order of the prefix hash whose utilization is
+// within a bound, else as TwoChoicesPicker does.
 class AffinityPicker final : public Picker
 {
 public:
@@ -100,19 +103,19 @@
     std::size_t pick(const PickInput &input, Random &random) override;
 
 private:
-    double m_bound;
+    double m_bound; // maximum utilization; 1 if all slots are taken
     TwoChoicesPicker m_fallback;
 };
 
-// The region of the server that a prefix falls to by rendezvous, among the candidates at home and
-// the servers of a pool elsewhere. Empty if there is none.
-std::string affinityRegion(const RoutingTable &table, std::span<const Candidate> home,
-                           const std::string &homeRegion, const std::string &pool,
+// Returns the region of the server that is first in the rendezvous order of the prefix hash, among
+// the local candidates and the servers of the pool in other allowed regions. Empty if there is
+// none.
+std::string affinityRegion(const RoutingTable &table, std::span<const Candidate> localCandidates,
+                           const std::string &localRegion, const std::string &pool,
                            const std::vector<std::string> &allowed, std::uint64_t prefix);
 
-// A hash of what requests with a common prefix share: the customer and the start of the body. The
-// customer is part of it so that no partner can find out another's prompts by the time to the first
-// token.
+// Returns a hash of the customer, the service and the start of the body. It includes the customer
+// so that no customer can detect the prompts of another by the time to the first token.
 std::uint64_t prefixHash(std::string_view customer, std::string_view service,
                          std::string_view body);
 
--- a/src/decide/pick.cc
+++ b/src/decide/pick.cc
@@ -12,41 +12,42 @@
 
 constexpr std::size_t prefixBytes = 512;
 
-double fill(const Candidate &candidate)
+// Returns the part of the slots that would be taken with one more request.
+double utilization(const Candidate &candidate)
 {
     return (candidate.load + 1) / candidate.slots;
 }
 
-// What a request meets at a server, in seconds. A server whose slots are all taken counts as a
-// tenth of a second behind an empty one, so that equal waits are told apart by load.
-double waitSecondsAt(const Candidate &candidate)
+// Returns the read delay plus a penalty of a tenth of a second at full utilization, which decides
+// by load between servers with the same delay.
+double expectedWaitSeconds(const Candidate &candidate)
 {
     constexpr double secondsWhenFull = 0.1;
-    return candidate.readDelaySeconds + secondsWhenFull * fill(candidate);
+    return candidate.readDelaySeconds + secondsWhenFull * utilization(candidate);
 }
 
-bool better(const Candidate &a, const Candidate &b, const PickInput &input)
+bool isBetter(const Candidate &a, const Candidate &b, const PickInput &input)
 {
     const double costA = input.weights.cost * a.view->server.cost * input.expectedSeconds;
     const double costB = input.weights.cost * b.view->server.cost * input.expectedSeconds;
-    // Up to its slots a server does not make a request wait, so there the cheaper one wins.
-    const bool bothFree = fill(a) <= 1 && fill(b) <= 1;
+    // A server with a free slot doesn't make a request wait, so cost decides between two of these.
+    const bool bothFree = utilization(a) <= 1 && utilization(b) <= 1;
     if (bothFree && costA != costB)
         return costA < costB;
-    return waitSecondsAt(a) < waitSecondsAt(b);
+    return expectedWaitSeconds(a) < expectedWaitSeconds(b);
 }
 
 } // namespace
 
 namespace {
 
-template <typename Wanted>
-std::vector<Candidate> selectCandidates(const RoutingTable &table, const Wanted &wanted)
+template <typename Predicate>
+std::vector<Candidate> selectCandidates(const RoutingTable &table, const Predicate &isWanted)
 {
     std::vector<Candidate> usable;
     std::vector<Candidate> trials;
     for (const ServerView &view : table.servers) {
-        if (!wanted(view.server))
+        if (!isWanted(view.server))
             continue;
         const Candidate candidate{&view, correctedLoad(view, table.trafficFactor),
                                   static_cast<double>(view.server.slots)};
@@ -55,8 +56,8 @@
         else if (view.status == ServerStatus::trial && !view.counters->trialInProgress)
             trials.push_back(candidate);
     }
-    // An ejected server gets one request to show that it is back. It goes in among the others
-    // rather than first, since most of the time it is not back.
+    // After its ejection a server gets one trial request. It is a candidate like the others instead
+    // of being preferred, since most trials fail.
     usable.insert(usable.end(), trials.begin(), trials.end());
     return usable;
 }
@@ -81,15 +82,15 @@
 
 namespace {
 
-// Of the engines whose queue has shown a pace; 0 without any.
+// Returns the mean over the engines for which it is known; 0 if there is none.
 double meanMsPerWaitingRequest(const std::vector<Candidate> &candidates)
 {
     double sum = 0;
     int known = 0;
     for (const Candidate &candidate : candidates) {
-        const double pace = candidate.view->counters->msPerWaitingRequest;
-        sum += pace;
-        known += pace > 0 ? 1 : 0;
+        const double delay = candidate.view->counters->msPerWaitingRequest;
+        sum += delay;
+        known += delay > 0 ? 1 : 0;
     }
     return sum / std::max(1, known);
 }
@@ -107,13 +108,13 @@
 void addEngineEstimates(std::vector<Candidate> &candidates, double meanTokens, TimePoint now)
 {
     const double rate = bestTokensPerMs(candidates);
-    const double known = meanMsPerWaitingRequest(candidates);
-    const double prompt = rate > 0 ? meanTokens / rate : 0;
-    const double usual = known > 0 ? known : prompt;
+    const double meanMs = meanMsPerWaitingRequest(candidates);
+    const double promptMs = rate > 0 ? meanTokens / rate : 0;
+    const double defaultMs = meanMs > 0 ? meanMs : promptMs;
     for (Candidate &candidate : candidates) {
         const ServerCounters &counters = *candidate.view->counters;
-        const double own = counters.msPerWaitingRequest;
-        const Duration delay = readDelay(*candidate.view, own > 0 ? own : usual);
+        const double ownMs = counters.msPerWaitingRequest;
+        const Duration delay = readDelay(*candidate.view, ownMs > 0 ? ownMs : defaultMs);
         candidate.readDelaySeconds = std::chrono::duration<double>(delay).count();
         candidate.tokensPerMs = rate;
         candidate.eventIntervalSeconds = eventIntervalSeconds(counters, now);
@@ -155,70 +156,73 @@
     std::size_t b = random.below(count - 1);
     if (b >= a)
         ++b;
-    return better(input.candidates[b], input.candidates[a], input) ? b : a;
+    return isBetter(input.candidates[b], input.candidates[a], input) ? b : a;
 }
 
 std::size_t AffinityPicker::pick(const PickInput &input, Random &random)
 {
-    if (input.prefix == 0)
+    if (input.prefixHash == 0)
         return m_fallback.pick(input, random);
     std::vector<std::pair<std::uint64_t, std::size_t>> order;
     for (std::size_t i = 0; i < input.candidates.size(); ++i) {
         const std::string &name = input.candidates[i].view->server.name;
-        order.emplace_back(rendezvousWeight(name, input.prefix), i);
+        order.emplace_back(rendezvousWeight(name, input.prefixHash), i);
     }
     std::sort(order.rbegin(), order.rend());
-    // The first two in the order may hold the prefix; a third copy would waste cache memory. The
-    // second is used once the first is further behind than reading the parts at the second would
-    // hold up all that run there. Against its reading time alone, the two took turns under load and
-    // each read the parts anew whenever they had made room for others.
+    // The first two servers in the order may cache the prefix; a third copy would waste cache
+    // memory. The second is used once the read delay of the first exceeds that of the second by the
+    // time that all requests running there would lose while it reads the prefix. When only the
+    // reading time was compared, the two alternated under load, and each read the prefix again
+    // after evicting it.
     constexpr std::size_t holderCount = 2;
     std::optional<std::size_t> best;
     double bestWait = 0;
     for (std::size_t rank = 0; rank < std::min(holderCount, order.size()); ++rank) {
         const Candidate &candidate = input.candidates[order[rank].second];
-        const double read = rank == 0 ? 0 : input.sharedReadSeconds * (1 + candidate.load);
-        const double wait = candidate.readDelaySeconds + read;
-        if (fill(candidate) > m_bound || (best && wait >= bestWait))
+        const double readSeconds = rank == 0 ? 0 : input.sharedReadSeconds * (1 + candidate.load);
+        const double wait = candidate.readDelaySeconds + readSeconds;
+        if (utilization(candidate) > m_bound || (best && wait >= bestWait))
             continue;
         best = order[rank].second;
         bestWait = wait;
     }
     if (best)
         return *best;
-    // What both have no room for goes to the next ones in the order, the same from every instance's
-    // view: spread over a hundred servers, each would read the parts anew.
+    // Requests that exceed the bound of both go to the next servers in the order, which is the same
+    // for all instances. Distributed over a hundred servers, each server would have to read the
+    // prefix.
     constexpr std::size_t overflowCount = 4;
-    const std::size_t other = m_fallback.pick(input, random);
-    const double maxReadDelay = input.candidates[other].readDelaySeconds + input.sharedReadSeconds;
+    const std::size_t fallback = m_fallback.pick(input, random);
+    const double maxReadDelay
+        = input.candidates[fallback].readDelaySeconds + input.sharedReadSeconds;
     for (std::size_t rank = holderCount; rank < std::min(holderCount + overflowCount, order.size());
          ++rank) {
         const Candidate &candidate = input.candidates[order[rank].second];
-        if (fill(candidate) <= m_bound && candidate.readDelaySeconds <= maxReadDelay)
+        if (utilization(candidate) <= m_bound && candidate.readDelaySeconds <= maxReadDelay)
             return order[rank].second;
     }
-    return other;
+    return fallback;
 }
 
-std::string affinityRegion(const RoutingTable &table, std::span<const Candidate> home,
-                           const std::string &homeRegion, const std::string &pool,
+std::string affinityRegion(const RoutingTable &table, std::span<const Candidate> localCandidates,
+                           const std::string &localRegion, const std::string &pool,
                            const std::vector<std::string> &allowed, std::uint64_t prefix)
 {
     std::string best;
     std::uint64_t bestWeight = 0;
-    const auto offer = [&](const std::string &name, const std::string &region) {
+    const auto consider = [&](const std::string &name, const std::string &region) {
         const std::uint64_t weight = rendezvousWeight(name, prefix);
         if (!best.empty() && weight <= bestWeight)
             return;
         best = region;
         bestWeight = weight;
     };
-    for (const Candidate &candidate : home)
-        offer(candidate.view->server.name, homeRegion);
+    for (const Candidate &candidate : localCandidates)
+        consider(candidate.view->server.name, localRegion);
     for (const RemoteServer &server : table.remote) {
         if (server.pool == pool
             && std::find(allowed.begin(), allowed.end(), server.region) != allowed.end())
-            offer(server.name, server.region);
+            consider(server.name, server.region);
     }
     return best;
 }
--- a/src/entry/dispatch-plan.cc
+++ b/src/entry/dispatch-plan.cc
@@ -268,7 +268,7 @@
                        jitteredRetryAfter(noServerRetrySeconds, m_state.random)};
     PickInput input;
     input.candidates = candidates;
-    input.prefix = m_exchange->prefixHash;
+    input.prefixHash = m_exchange->prefixHash;
     input.sharedReadSeconds = sharedReadSeconds(candidates);
     input.weights = m_exchange->config().weights;
     input.expectedSeconds = seconds(m_exchange->service->expectedDuration);
--- a/src/experiment/experiment.cc
+++ b/src/experiment/experiment.cc
@@ -288,7 +288,7 @@
     {
         PickInput input;
         input.candidates = candidates;
-        input.prefix = call->prefix;
+        input.prefixHash = call->prefix;
         input.weights = m_setup.weights;
         input.expectedSeconds = 0.4;
         const Candidate &chosen = candidates[entry.picker->pick(input, m_random)];
--- a/src/ibisnotch-slopes.cc
+++ b/src/ibisnotch-slopes.cc
@@ -139,7 +139,7 @@
             const auto candidates = candidatesForService(*routing, service, {});
             PickInput input;
             input.candidates = candidates;
-            input.prefix = ++next;
+            input.prefixHash = ++next;
             picker.pick(input, random);
         });
         std::size_t cursor = 0;
--- a/test/read-delay-test.cc
+++ b/test/read-delay-test.cc
@@ -58,7 +58,7 @@
 {
     add("known", 1, 64);
     add("new", 1, 64);
-    finish();
+    makeCandidates();
     for (ServerView &view : views)
         view.waiting = 4;
     addEngineEstimates(candidates, 2000, TimePoint{1h});
@@ -85,7 +85,7 @@
     // Nobody runs at either, so reading the parts costs the new caller alone.
     add("a", 0, 64);
     add("b", 0, 64);
-    finish();
+    makeCandidates();
     const PickInput input = prefixInput(0.2);
     AffinityPicker picker;
     Random random(1);
@@ -100,7 +100,7 @@
 {
     add("a", 2, 64);
     add("b", 20, 64);
-    finish();
+    makeCandidates();
     candidates[0].readDelaySeconds = 0.5;
     PickInput input;
     input.candidates = candidates;
--- a/test/routing-fixture.h
+++ b/test/routing-fixture.h
@@ -14,6 +14,7 @@
     std::vector<ServerView> views;
     std::vector<Candidate> candidates;
 
+    // Adds a server of model "m" with the given reported load.
     void add(const std::string &name, double load, double slots, double cost = 1)
     {
         ServerView view;
@@ -26,18 +27,20 @@
         views.push_back(view);
     }
 
-    void finish()
+    // Called after all servers are added, since candidates point to `views`.
+    void makeCandidates()
     {
         for (const ServerView &view : views)
             candidates.push_back(
                 {&view, view.reportedLoad, static_cast<double>(view.server.slots)});
     }
 
+    // Returns the input for a request with a prefix hash.
     PickInput prefixInput(double sharedReadSeconds) const
     {
         PickInput input;
         input.candidates = candidates;
-        input.prefix = 77;
+        input.prefixHash = 77;
         input.sharedReadSeconds = sharedReadSeconds;
         return input;
     }
