--- a/include/ibisnotch/region-choice.h
+++ b/include/ibisnotch/region-choice.h
@@ -1,4 +1,4 @@
-// Whether a request runs in this region or is sent to another.
+// Chooses the region in which a request runs.
 #pragma once
 
 #include <cstdint>
@@ -15,16 +15,16 @@
 
 namespace ibisnotch {
 
-// What a region tells the others of one service.
+// Message by which a region reports the load of one service or pool to the other regions.
 struct RegionLoad
 {
     std::string region;
     std::string service; // or pool
     double slots = 0;
-    double outstanding = 0;
-    std::uint32_t ageMs = 0; // when sent, or when looked up
-    double readDelaySeconds = 0; // seconds before a prompt sent now is read, on average
-    double eventIntervalSeconds = 0; // between two events of a stream, on average; 0: not known
+    double outstanding = 0; // requests running and waiting
+    std::uint32_t ageMs = 0; // age of the values when this was sent or returned by RegionTable
+    double readDelaySeconds = 0; // mean time until an engine begins to read a prompt sent now
+    double eventIntervalSeconds = 0; // mean time between two events of a stream; 0 if unknown
 
     template <typename Archive> void serialize(Archive &archive)
     {
@@ -33,14 +33,15 @@
     bool operator==(const RegionLoad &) const = default;
 };
 
-// The time that a request would wait for a slot.
+// Returns the time that a new request would wait for a slot; infinity without slots.
 double waitSeconds(double slots, double outstanding, double expectedSeconds);
 
+// Returns the sums and means over the candidates. `loadKey` is the name of a service or pool.
 RegionLoad summarizeLoad(const std::string &region, const std::string &loadKey,
                          std::span<const Candidate> candidates);
 
-// Keeps the latest summary of each other region, corrected by what was sent there and came
-// back since.
+// Holds the latest load of each other region, corrected by the requests that this instance has
+// forwarded there since. Thread safe.
 class RegionTable
 {
 public:
@@ -49,7 +50,7 @@
     void onForwardedFinished(const std::string &region, const std::string &service);
     std::optional<RegionLoad> find(const std::string &region, const std::string &service,
                                    TimePoint now) const;
-    // All summaries that still count, with their ages.
+    // Returns all loads that aren't outdated, without the correction and with their ages.
     std::vector<RegionLoad> all(TimePoint now) const;
 
 private:
@@ -57,7 +58,7 @@
     {
         RegionLoad load;
         TimePoint measuredAt;
-        double forwardedSince = 0; // sent since the summary, less those that came back
+        double forwardedSince = 0; // requests forwarded since, less those that finished since
     };
     mutable std::mutex m_mutex;
     std::map<std::pair<std::string, std::string>, Entry> m_entries;
@@ -66,34 +67,33 @@
 struct RegionChoiceInput
 {
     std::string localRegion;
-    std::vector<std::string> allowed; // by residency; may lack the home region
-    std::vector<std::string> reachable; // regions with an entry instance that is alive
+    std::vector<std::string> allowed; // by residency; may exclude the local region
+    std::vector<std::string> reachable; // regions with a live instance
     const Service *service = nullptr;
-    std::string loadKey; // under which the regions' loads are kept
+    std::string loadKey; // RegionLoad::service of the loads to compare
     RegionLoad localLoad;
     Weights weights;
-    Duration oneWayDelay{};
-    Duration awayMargin{};
-    // Where a server holds the parts that the prompt shares with others; empty: anywhere.
+    Duration oneWayDelay{}; // between two regions
+    Duration awayMargin{}; // by which the wait in another region must be shorter; scaled by weights
+    // Region of the server that caches the prefix of the prompt; empty if there is none.
     std::string holderRegion;
-    double sharedReadSeconds = 0; // in which another server reads those parts
-    double localRunningPerServer = 0; // requests that run at a server of the region, on average
-    bool localRejects = false; // admission would refuse the request at home
-    bool canForward = true; // false once the request has changed regions
+    double sharedReadSeconds = 0; // time in which any other server reads the prefix
+    double localRunningPerServer = 0; // mean number of requests at a server of the local region
+    bool localRejects = false; // admission control would reject the request in the local region
+    bool canForward = true; // false if the request was forwarded from another region
 };
 
 struct RegionDecision
 {
-    // Empty: no region can take it now.
-    std::optional<std::string> region;
+    std::optional<std::string> region; // empty if no region can run the request now
     double waitSeconds = 0;
-    bool residencyForbids = false; // nowhere this instance may send it
+    bool residencyForbids = false; // no region that this instance may send it to is allowed
     bool operator==(const RegionDecision &) const = default;
 };
 
-// Compares the wait at home with the way and the wait elsewhere. Away must win by a margin that the
-// weights scale; once traffic flows away, half the margin keeps it there, so that the choice does
-// not swing with each report. Thread safe.
+// Compares the wait in the local region with the network delay and wait in the others. Another
+// region must be better by a margin that the weights scale. While requests are forwarded, half of
+// the margin is enough, so that the choice doesn't change with each load report. Thread safe.
 class RegionChooser
 {
 public:
@@ -102,7 +102,7 @@
 
 private:
     std::mutex m_mutex;
-    std::map<std::string, bool> m_forwarding; // by service
+    std::map<std::string, bool> m_forwarding; // by RegionChoiceInput::loadKey
 };
 
 } // namespace ibisnotch
--- a/src/decide/region-choice.cc
+++ b/src/decide/region-choice.cc
@@ -8,8 +8,8 @@
 namespace {
 
 constexpr Duration summaryMaxAge = std::chrono::seconds(15);
-// What the way to a prompt's shared parts and the wait there may take of its target; the rest of
-// the prompt is still to be read.
+// Part of the target latency that the network and read delay may use up in the region that caches a
+// prefix. The rest of the prompt must still be read after that.
 constexpr double maxTargetFraction = 0.5;
 
 std::uint32_t ageMilliseconds(TimePoint at, TimePoint now)
@@ -23,24 +23,25 @@
     return std::find(list.begin(), list.end(), item) != list.end();
 }
 
-// How much the margin counts under a deployment's weights: sending away costs share and link, so a
-// deployment that weighs those more asks for a longer wait at home first.
+// Returns the weight of the disadvantages of forwarding relative to that of latency, from 0 to 1.
+// The higher it is, the longer the local wait must be before requests are forwarded.
 double forwardingCostShare(const Weights &weights)
 {
-    const double against = weights.sentAway + weights.cost;
-    const double total = against + weights.tailLatency;
-    return total <= 0 ? 0.5 : against / total;
+    const double forwardingCost = weights.sentAway + weights.cost;
+    const double total = forwardingCost + weights.tailLatency;
+    return total <= 0 ? 0.5 : forwardingCost / total;
 }
 
-// The wait at home must exceed the way and the wait elsewhere by this. A region with free slots may
-// be used early, since nobody there waits longer for it; one that has a queue itself only late, or
-// regions that are all full hand their requests round.
+// Returns the time by which the local wait must exceed the network delay and wait in another
+// region. It is short for a region with free slots, where no other request waits longer as a
+// result, and long for one with a queue, since full regions would otherwise forward requests to
+// each other.
 double marginSeconds(const RegionChoiceInput &input, bool freeSlots)
 {
-    constexpr double strongest = 4;
-    const double against = forwardingCostShare(input.weights);
-    const double whole = seconds(input.awayMargin) * strongest * against;
-    return freeSlots ? whole * against * against * against : whole;
+    constexpr double maxScale = 4;
+    const double costShare = forwardingCostShare(input.weights);
+    const double fullMargin = seconds(input.awayMargin) * maxScale * costShare;
+    return freeSlots ? fullMargin * costShare * costShare * costShare : fullMargin;
 }
 
 } // namespace
@@ -57,16 +58,16 @@
                          std::span<const Candidate> candidates)
 {
     RegionLoad load{region, loadKey, 0, 0, 0, 0, 0};
-    int paced = 0;
+    int withInterval = 0;
     for (const Candidate &candidate : candidates) {
         load.slots += candidate.slots;
         load.outstanding += candidate.load;
         load.readDelaySeconds
             += candidate.readDelaySeconds / static_cast<double>(candidates.size());
         load.eventIntervalSeconds += candidate.eventIntervalSeconds;
-        paced += candidate.eventIntervalSeconds > 0 ? 1 : 0;
+        withInterval += candidate.eventIntervalSeconds > 0 ? 1 : 0;
     }
-    load.eventIntervalSeconds /= std::max(1, paced);
+    load.eventIntervalSeconds /= std::max(1, withInterval);
     return load;
 }
 
@@ -111,41 +112,42 @@
 
 namespace {
 
-// The part of the requests to send away, by how much shorter the wait is there. News of waits is
-// half a second old, so a region that sent everything would find the other one behind and send
-// everything back.
+// Returns the fraction of requests to forward, which grows with the gain in wait. Loads are half a
+// second old when they arrive, so if all requests were forwarded, the other region would become the
+// slower one and forward them all back.
 double forwardedFraction(double gainSeconds)
 {
-    constexpr double wholeGain = 0.5;
-    constexpr double leastPart = 0.1;
-    constexpr double mostPart = 0.6;
-    return std::clamp(gainSeconds / wholeGain, leastPart, mostPart);
+    constexpr double fullGainSeconds = 0.5;
+    constexpr double minFraction = 0.1;
+    constexpr double maxFraction = 0.6;
+    return std::clamp(gainSeconds / fullGainSeconds, minFraction, maxFraction);
 }
 
-// While a server reads the shared parts of a long prompt again, all that run there wait. So such a
-// prompt goes to the region where a server holds them, whichever region its caller is in: while
-// that region has free slots, if the way costs the caller less than reading would cost all of them,
-// and if its first token is still in time.
+// Returns the region with the server that caches the prefix of the prompt, or nothing if the
+// request shouldn't be forwarded there. All requests at a server wait while it reads a long prefix,
+// so the request is forwarded if the region has free slots, the delay for the caller is shorter
+// than the total delay for the requests at a local server, and the first token still meets the
+// target.
 std::optional<RegionDecision> chooseHolderRegion(const RegionChoiceInput &input,
                                                  const RegionTable &table, TimePoint now)
 {
     const std::string &holder = input.holderRegion;
     if (holder.empty() || holder == input.localRegion)
         return std::nullopt;
-    const bool open
+    const bool isOpen
         = input.canForward && contains(input.allowed, holder) && contains(input.reachable, holder);
-    if (!open)
+    if (!isOpen)
         return std::nullopt;
     const auto load = table.find(holder, input.loadKey, now);
     if (!load || load->outstanding + 1 > load->slots)
         return std::nullopt;
-    const double there = load->readDelaySeconds + 2 * seconds(input.oneWayDelay);
-    const double atHome = input.localLoad.slots > 0 ? input.localLoad.readDelaySeconds
+    const double holderSeconds = load->readDelaySeconds + 2 * seconds(input.oneWayDelay);
+    const double localSeconds = input.localLoad.slots > 0 ? input.localLoad.readDelaySeconds
             + input.sharedReadSeconds * (1 + input.localRunningPerServer)
-                                                    : std::numeric_limits<double>::infinity();
+                                                          : std::numeric_limits<double>::infinity();
     const double target = seconds(input.service->targetLatency);
-    const bool late = target > 0 && there > maxTargetFraction * target;
-    if (late || there > atHome + marginSeconds(input, true))
+    const bool late = target > 0 && holderSeconds > maxTargetFraction * target;
+    if (late || holderSeconds > localSeconds + marginSeconds(input, true))
         return std::nullopt;
     return RegionDecision{holder, 2 * seconds(input.oneWayDelay), false};
 }
@@ -177,45 +179,45 @@
     const double localWaitSeconds
         = std::max(localSlotWaitSeconds, input.localLoad.readDelaySeconds);
     RegionDecision best;
-    std::optional<std::string> unknown; // a region of which no load has been heard
+    std::optional<std::string> unknown; // a region whose load isn't known
     double bestRemoteSeconds = std::numeric_limits<double>::infinity();
     bool bestHasFreeSlots = false;
     for (const std::string &region : input.allowed) {
-        const bool open
+        const bool isOpen
             = input.canForward && region != input.localRegion && contains(input.reachable, region);
-        if (!open)
+        if (!isOpen)
             continue;
         const auto load = table.find(region, input.loadKey, now);
         if (!load)
             unknown = region;
         if (!load || load->slots <= 0)
             continue;
-        // A little noise spreads senders over regions that look alike.
+        // Noise distributes the instances over regions with equal loads.
         const double noise = random.uniform() * 0.01;
-        const double there = std::max(waitSeconds(load->slots, load->outstanding, expected),
-                                      load->readDelaySeconds);
-        const double away = there + 2 * seconds(input.oneWayDelay) + noise;
-        if (away < bestRemoteSeconds) {
-            bestRemoteSeconds = away;
-            best = {region, away, false};
+        const double remoteWait = std::max(waitSeconds(load->slots, load->outstanding, expected),
+                                           load->readDelaySeconds);
+        const double remoteSeconds = remoteWait + 2 * seconds(input.oneWayDelay) + noise;
+        if (remoteSeconds < bestRemoteSeconds) {
+            bestRemoteSeconds = remoteSeconds;
+            best = {region, remoteSeconds, false};
             bestHasFreeSlots = load->outstanding + 1 <= load->slots;
         }
     }
     if (const auto holder = chooseHolderRegion(input, table, now))
         return *holder;
     const bool localCanRun = localAllowed && input.localLoad.slots > 0;
-    // An instance that has just started knows its peers before their loads. They can refuse
-    // themselves, but a refusal here would be for nothing.
+    // An instance that has just started knows its peers before their loads. A peer can still reject
+    // the request, while this instance would reject it for lack of information only.
     if (!best.region && !localCanRun && unknown)
         return {unknown, 2 * seconds(input.oneWayDelay), false};
     if (!localAllowed)
         return best;
     const std::lock_guard lock(m_mutex);
     bool &forwarding = m_forwarding[input.loadKey];
-    const double whole = marginSeconds(input, bestHasFreeSlots);
-    const double margin = forwarding ? whole / 2 : whole;
+    const double fullMargin = marginSeconds(input, bestHasFreeSlots);
+    const double margin = forwarding ? fullMargin / 2 : fullMargin;
     forwarding = best.region && localWaitSeconds > bestRemoteSeconds + margin;
-    // A refusal at home is worse for the caller than the way to a region with room.
+    // For the caller, a rejection is worse than the delay to a region with free slots.
     const bool avoidsRejection = best.region && bestHasFreeSlots && input.localRejects;
     const bool byReadDelay = forwarding && localSlotWaitSeconds <= bestRemoteSeconds + margin;
     if (byReadDelay
--- a/test/region-choice-test.cc
+++ b/test/region-choice-test.cc
@@ -40,8 +40,8 @@
 
 } // namespace
 
-// What the caller sees: its data stays where it may be. In what order: any load anywhere, any part
-// of the fleet reachable. Why: only allowed regions are looked at, before any load is.
+// Guards against data that leaves the regions allowed by residency, whatever the loads and
+// whichever regions are reachable.
 TEST_CASE("regionChooser_underAnyLoad_staysWithinTheAllowedRegions")
 {
     rc::prop("allowed or nothing", [](std::uint64_t seed) {
@@ -58,23 +58,24 @@
                                   double(*rc::gen::inRange(0, 100)), 0},
                                  fixture.now + 1s);
         Random random(seed);
-        const RegionDecision answer
+        const RegionDecision decision
             = fixture.chooser.choose(fixture.input, fixture.table, fixture.now + 1s, random);
-        if (!answer.region)
+        if (!decision.region)
             return;
         const auto &allowed = fixture.input.allowed;
-        RC_ASSERT(std::find(allowed.begin(), allowed.end(), *answer.region) != allowed.end());
+        RC_ASSERT(std::find(allowed.begin(), allowed.end(), *decision.region) != allowed.end());
         if (!fixture.input.canForward)
-            RC_ASSERT(*answer.region == "a");
+            RC_ASSERT(*decision.region == "a");
     });
 }
 
-TEST_CASE_METHOD(RegionFixture, "regionChooser_freeHome_staysHome")
+TEST_CASE_METHOD(RegionFixture, "regionChooser_freeLocalRegion_staysLocal")
 {
     CHECK(choose().region == "a");
 }
 
-TEST_CASE_METHOD(RegionFixture, "regionChooser_longQueueAtHome_goesToTheFreestRegion")
+TEST_CASE_METHOD(RegionFixture,
+                 "regionChooser_longLocalQueue_forwardsToTheRegionWithTheShortestWait")
 {
     input.localLoad.outstanding = 60;
     CHECK(choose().region == "b");
@@ -82,9 +83,9 @@
     CHECK(choose().region == "a");
 }
 
-TEST_CASE_METHOD(RegionFixture, "regionChooser_deploymentThatWeighsSentAway_waitsLonger")
+TEST_CASE_METHOD(RegionFixture, "regionChooser_highWeightOfForwarding_staysLocalLonger")
 {
-    input.localLoad.outstanding = 15; // a wait of 0.4 s at home, 0.16 s of way
+    input.localLoad.outstanding = 15; // a local wait of 0.4 s and a round trip of 0.16 s
     input.weights = {2, 1, 1, false};
     CHECK(choose().region == "b");
     RegionChooser other;
@@ -92,9 +93,9 @@
     CHECK(other.choose(input, table, now, random).region == "a");
 }
 
-// What the caller sees: an answer from elsewhere in place of a refusal. In what order: its service
-// is worth little, so home would refuse it, while another region has free slots.
-TEST_CASE_METHOD(RegionFixture, "regionChooser_homeWouldRefuse_goesToARegionWithRoom")
+// Guards against a rejection by the local region, for example of a service of little worth, while
+// another region has free slots.
+TEST_CASE_METHOD(RegionFixture, "regionChooser_localRegionRejects_forwardsToARegionWithFreeSlots")
 {
     input.localRejects = true;
     CHECK(choose().region == "b");
@@ -105,26 +106,26 @@
     CHECK(choose().region == "a");
 }
 
-TEST_CASE_METHOD(RegionFixture, "regionChooser_isolatedRegion_servesItsCallers")
+TEST_CASE_METHOD(RegionFixture, "regionChooser_noReachableRegion_staysLocal")
 {
     input.reachable.clear();
     input.localLoad.outstanding = 200;
     CHECK(choose().region == "a");
 }
 
-TEST_CASE_METHOD(RegionFixture, "regionChooser_homeWithoutServers_sendsAwayOrSaysSo")
+TEST_CASE_METHOD(RegionFixture, "regionChooser_noLocalServers_forwardsOrReturnsNone")
 {
     input.localLoad.slots = 0;
     CHECK(choose().region == "b");
     input.reachable.clear();
-    const RegionDecision answer = choose();
-    CHECK_FALSE(answer.region);
-    CHECK_FALSE(answer.residencyForbids);
+    const RegionDecision decision = choose();
+    CHECK_FALSE(decision.region);
+    CHECK_FALSE(decision.residencyForbids);
     input.allowed.clear();
     CHECK(choose().residencyForbids);
 }
 
-TEST_CASE_METHOD(RegionFixture, "regionTable_oldSummary_isNotUsed")
+TEST_CASE_METHOD(RegionFixture, "regionTable_outdatedLoad_isNotUsed")
 {
     CHECK(table.find("b", "s", now + 10s));
     CHECK_FALSE(table.find("b", "s", now + 20s));
@@ -132,10 +133,9 @@
     CHECK(table.find("b", "s", now + 10s)->outstanding == 0);
 }
 
-// What callers see: late first tokens in the region at its peak, while others are idle. In what
-// order: prompts that share long parts arrive in all regions; each region reads the parts again.
-// Why: reading them takes longer than the way to the region that holds them.
-TEST_CASE_METHOD(RegionFixture, "regionChooser_holderElsewhereWithRoom_goesThere")
+// Guards against late first tokens when prompts with a long common prefix arrive in all regions and
+// each region reads the prefix, which takes longer than forwarding to the region that caches it.
+TEST_CASE_METHOD(RegionFixture, "regionChooser_remoteHolderWithFreeSlots_forwardsToIt")
 {
     input.holderRegion = "b";
     input.sharedReadSeconds = 0.2;
@@ -150,35 +150,31 @@
     CHECK(choose().region == "a");
 }
 
-// What callers see: late first tokens at home while another region has room, then the reverse. In
-// what order: prompts wait to be read at home, all instances hear of room elsewhere at the same
-// time. Why: were everything sent there for the half second until the next news, the wait would
-// move with it; only a part goes.
-TEST_CASE_METHOD(RegionFixture, "regionChooser_promptsWaitAtHome_sendsAPartAway")
+// Guards against a wait that alternates between two regions: all instances learn of free capacity
+// at the same time, and the next loads arrive half a second later. Only a part of the requests may
+// go.
+TEST_CASE_METHOD(RegionFixture, "regionChooser_localReadDelay_forwardsAPart")
 {
     input.weights = {1, 1, 1, false};
-    const auto partAway = [&] {
-        int away = 0;
+    const auto countForwarded = [&] {
+        int forwarded = 0;
         for (int i = 0; i < 1000; ++i)
-            away += choose().region == "a" ? 0 : 1;
-        return away;
+            forwarded += choose().region == "a" ? 0 : 1;
+        return forwarded;
     };
-    CHECK(partAway() == 0);
+    CHECK(countForwarded() == 0);
     input.localLoad.readDelaySeconds = 0.4;
-    const int some = partAway();
-    CHECK(some > 50);
-    CHECK(some < 450);
+    const int atShortDelay = countForwarded();
+    CHECK(atShortDelay > 50);
+    CHECK(atShortDelay < 450);
     input.localLoad.readDelaySeconds = 3;
-    CHECK(partAway() > some);
-    CHECK(partAway() < 700);
+    CHECK(countForwarded() > atShortDelay);
+    CHECK(countForwarded() < 700);
 }
 
-// What callers see: streams that stand still while their server reads long prompts. In what order:
-// prompts that share parts held in another region arrive here, where servers run many streams; each
-// region reads the parts. Why: all who run at a server wait while it reads, not the new caller
-// alone, whose way to the other region would cost it no more than a part of its target.
-TEST_CASE_METHOD(RegionFixture,
-                 "regionChooser_manyWouldWaitWhileSharedPartsAreRead_goesToTheHolder")
+// Guards against streams that pause while their server reads a prefix cached in another region: all
+// requests at the server wait, not only the new one, whose network delay is a part of its target.
+TEST_CASE_METHOD(RegionFixture, "regionChooser_manyWouldWaitForReading_forwardsToTheHolder")
 {
     input.weights = {1, 0, 0, false};
     service.targetLatency = 1s;
@@ -188,25 +184,25 @@
     CHECK(choose().region == "a");
     input.localRunningPerServer = 20;
     CHECK(choose().region == "b");
-    // A first token that would come late there is not worth the servers' time saved.
+    // The request stays local if its first token would be late in the other region.
     table.onLoad({"b", "s", 8, 0, 0, 0.4}, now + 1s);
     now += 1s;
     CHECK(choose().region == "a");
 }
 
-TEST_CASE_METHOD(RegionFixture, "regionChooser_holderFurtherBehindThanHome_staysHome")
+TEST_CASE_METHOD(RegionFixture, "regionChooser_holderWithLongerDelay_staysLocal")
 {
     input.holderRegion = "b";
     input.sharedReadSeconds = 0.2;
     CHECK(choose().region == "b");
-    RegionLoad behind{"b", "s", 8, 0, 0, 2.0};
-    table.onLoad(behind, now + 1s);
+    RegionLoad delayed{"b", "s", 8, 0, 0, 2.0};
+    table.onLoad(delayed, now + 1s);
     now += 1s;
     CHECK(choose().region == "a");
 }
 
-// Guards against refusals for want of news of a region that could serve.
-TEST_CASE_METHOD(RegionFixture, "regionChooser_noLoadHeardOfTheOnlyOtherRegion_sendsThere")
+// Guards against rejecting a request because the load of a region that could run it is unknown.
+TEST_CASE_METHOD(RegionFixture, "regionChooser_unknownLoadOfTheOnlyOtherRegion_forwardsToIt")
 {
     now += 1h;
     input.allowed = {"b"};
