--- a/include/ibisnotch/admission.h
+++ b/include/ibisnotch/admission.h
@@ -1,4 +1,5 @@
-// Whether a request is taken or refused at once, before it costs anything.
+// Admission control: decides whether a request is accepted, or rejected before any work is done for
+// it.
 #pragma once
 
 #include <map>
@@ -17,43 +18,46 @@
 {
     const Customer *customer = nullptr;
     const Service *service = nullptr;
-    int priority = 1; // of the request; 0 is most urgent
-    double slots = 0; // where it would run
-    double outstanding = 0;
-    double queueFactor = 2;
-    double maxWorth = 0; // of any service; 0 leaves worth out
-    bool lateIsUndelivered = false;
-    Duration roundTrip{}; // to the region and back
+    int priority = 1; // of the request; 0 is the most urgent
+    double slots = 0; // in the region in which the request would run
+    double outstanding = 0; // requests running and waiting there
+    double queueFactor = 2; // limit of outstanding requests per slot for the most urgent
+    double maxWorth = 0; // highest worth of any service; 0 if worth is ignored
+    bool lateIsUndelivered = false; // a late response has no value to the caller
+    Duration roundTrip{}; // network delay to that region and back
     Duration remaining{}; // until the caller's deadline
-    double promptReadDelaySeconds = 0; // seconds before a prompt sent now is read; 0: no prompt
-    double eventIntervalSeconds
-        = 0; // between two events of a stream where it would run; 0: not known
-    double maxEventIntervalSeconds
-        = 0; // the same, at which streams still end in time; 0: not known
-    int lessUrgentServices = 0; // services that give way first while streams are too slow
-    // Between 0 and 1, drawn once for a request: the lowest are turned away first, wherever it is
-    // asked for.
+    // Time until an engine there begins to read a prompt sent now; 0 if the request has no prompt.
+    double promptReadDelaySeconds = 0;
+    double eventIntervalSeconds = 0; // between two events of a stream there; 0 if unknown
+    // Event interval up to which streams there end before their deadlines; 0 if unknown.
+    double maxEventIntervalSeconds = 0;
+    int lessUrgentServices = 0; // services rejected before this one while streams are too slow
+    // Random number between 0 and 1. Requests with the lowest numbers are rejected first. It is
+    // drawn once per request, so that several decisions about a request agree.
     double rejectionDraw = 1;
 };
 
 struct AdmissionDecision
 {
-    ResultCode code = ResultCode::served; // served: taken
+    ResultCode code = ResultCode::served; // served if the request is accepted
     Duration retryAfter{};
     bool operator==(const AdmissionDecision &) const = default;
 };
 
-// A caller refused for lack of capacity is told to come back when the work ahead is done, spread
-// over as long again so that those refused together do not come back together.
+// Returns the time after which a rejected caller should retry: the wait, limited to a range, plus
+// up to as much random jitter, so that callers rejected together don't retry together.
 Duration jitteredRetryAfter(double waitSeconds, Random &random);
 
-// Counts what each customer has in flight here, and decides. Thread safe.
+// Counts the requests in flight of each customer at this instance and decides about new ones.
+// Thread safe.
 class Admission
 {
 public:
     AdmissionDecision decide(const AdmissionInput &input, Random &random);
 
+    // Called when a request is accepted; `share` is the customer's share of a full service.
     void onAdmitted(const std::string &customer, const std::string &service, double share);
+    // Called when an accepted request has finished.
     void onFinished(const std::string &customer, const std::string &service);
 
 private:
@@ -63,10 +67,11 @@
         double share = 1;
     };
 
+    // Returns whether one more request would exceed the customer's share of the requests in flight.
     bool exceedsShare(const AdmissionInput &input);
 
     std::mutex m_mutex;
-    std::map<std::string, std::map<std::string, Usage>> m_usage; // service, customer
+    std::map<std::string, std::map<std::string, Usage>> m_usage; // by service and customer
 };
 
 } // namespace ibisnotch
--- a/src/decide/admission.cc
+++ b/src/decide/admission.cc
@@ -8,12 +8,13 @@
 
 constexpr double minRetryAfterSeconds = 1;
 constexpr double maxRetryAfterSeconds = 60;
-constexpr double shareTolerance = 1.25;
-// Some have to come through to show that a peak is over.
+constexpr double shareTolerance = 1.25; // factor by which a customer may exceed its share
+// Some requests must be accepted to show when a peak has ended.
 constexpr double maxRejectedFraction = 0.85;
 
-// How full the queue may be for a service: less urgent ones and those worth less give way first, so
-// that what is left of the queue goes to the others.
+// Returns the number of outstanding requests per slot up to which a request is accepted. It is
+// lower for less urgent requests and for services of less worth, so that the rest of the queue
+// remains for the others.
 double queueLimit(const AdmissionInput &input)
 {
     constexpr double limitPerPriority = 0.05;
@@ -27,33 +28,36 @@
     return 1 + (input.queueFactor - 1) * byPriority * byWorth;
 }
 
-// The part of the requests to turn away while first tokens come late. Engines read prompts one
-// after the other, so once more come than they can read, all of them come late.
-double rejectedForReadDelay(double firstSeconds, double targetSeconds)
+// Returns the fraction of requests to reject because first tokens are late. Engines read prompts
+// one after the other, so if more arrive than they can read, all first tokens are late.
+double rejectedForReadDelay(double firstTokenSeconds, double targetSeconds)
 {
-    constexpr double begins = 0.6; // of the target
-    constexpr double whole = 1.4;
-    if (firstSeconds <= 0 || targetSeconds <= 0)
+    constexpr double startPressure = 0.6; // part of the target at which rejection starts
+    constexpr double fullPressure = 1.4; // part at which all would be rejected
+    if (firstTokenSeconds <= 0 || targetSeconds <= 0)
         return 0;
-    const double pressure = firstSeconds / targetSeconds;
-    return std::clamp((pressure - begins) / (whole - begins), 0.0, maxRejectedFraction);
+    const double pressure = firstTokenSeconds / targetSeconds;
+    return std::clamp((pressure - startPressure) / (fullPressure - startPressure), 0.0,
+                      maxRejectedFraction);
 }
 
-// The part to turn away while streams are too slow for long answers to end. The least urgent
-// service gives way first, and each more urgent one only under more pressure: turned away all
-// alike, prompts that cost little and are urgent made room for those that cost most.
+// Returns the fraction of requests to reject because streams are too slow for long answers to end
+// in time. The least urgent service is rejected first, and each more urgent one only at a higher
+// pressure. When all services were rejected equally, cheap urgent prompts were rejected in favour
+// of the most expensive ones.
 double rejectedForSlowStreams(const AdmissionInput &input)
 {
-    // Of what streams bear, below the whole: the pace is the average of servers of which some are
-    // slower.
-    constexpr double begins = 0.85;
-    constexpr double whole = 1.85;
+    // Rejection starts below the highest acceptable interval, since the interval is a mean over
+    // servers of which some are slower.
+    constexpr double startPressure = 0.85;
+    constexpr double fullPressure = 1.85;
     constexpr double pressurePerService = 0.5;
     if (input.maxEventIntervalSeconds <= 0)
         return 0;
     const double pressure = input.eventIntervalSeconds / input.maxEventIntervalSeconds;
-    const double from = begins + pressurePerService * input.lessUrgentServices;
-    return std::clamp((pressure - from) / (whole - begins), 0.0, maxRejectedFraction);
+    const double serviceStart = startPressure + pressurePerService * input.lessUrgentServices;
+    return std::clamp((pressure - serviceStart) / (fullPressure - startPressure), 0.0,
+                      maxRejectedFraction);
 }
 
 } // namespace
@@ -61,8 +65,8 @@
 Duration jitteredRetryAfter(double waitSeconds, Random &random)
 {
     const double base = std::clamp(waitSeconds, minRetryAfterSeconds, maxRetryAfterSeconds);
-    const double spread = base * (1 + random.uniform());
-    return std::chrono::duration_cast<Duration>(std::chrono::duration<double>(spread));
+    const double jittered = base * (1 + random.uniform());
+    return std::chrono::duration_cast<Duration>(std::chrono::duration<double>(jittered));
 }
 
 bool Admission::exceedsShare(const AdmissionInput &input)
@@ -80,8 +84,8 @@
     const Usage &own = customers[input.customer->name];
     if (own.inFlight == 0)
         return false;
-    const double fair = total * input.customer->share / std::max(shares, 0.01);
-    return own.inFlight + 1 > fair * shareTolerance + 1;
+    const double fairShare = total * input.customer->share / std::max(shares, 0.01);
+    return own.inFlight + 1 > fairShare * shareTolerance + 1;
 }
 
 AdmissionDecision Admission::decide(const AdmissionInput &input, Random &random)
@@ -90,25 +94,27 @@
     const double wait = waitSeconds(input.slots, input.outstanding, expected);
     if (input.slots <= 0)
         return {ResultCode::noBackendServer, jitteredRetryAfter(minRetryAfterSeconds, random)};
-    const double fill = input.outstanding / input.slots;
+    const double outstandingPerSlot = input.outstanding / input.slots;
     const double remaining = seconds(input.remaining);
     const double needed = seconds(input.roundTrip) + wait + expected;
-    // Where a late answer counts as undelivered, running it would only make the next one late too.
+    // Running a request whose response is late and has no value would only delay the next ones.
     if (needed > remaining && (input.lateIsUndelivered || wait > 0))
         return {ResultCode::deadlineTooShort, jitteredRetryAfter(wait, random)};
-    const double first = input.promptReadDelaySeconds > 0
+    const double firstTokenSeconds = input.promptReadDelaySeconds > 0
         ? input.promptReadDelaySeconds + seconds(input.roundTrip)
         : 0;
-    const double part = std::max(rejectedForReadDelay(first, seconds(input.service->targetLatency)),
-                                 rejectedForSlowStreams(input));
-    if (input.rejectionDraw < part)
-        return {ResultCode::overloaded, jitteredRetryAfter(std::max(first, remaining / 6), random)};
-    if (fill < 1)
+    const double rejectedFraction
+        = std::max(rejectedForReadDelay(firstTokenSeconds, seconds(input.service->targetLatency)),
+                   rejectedForSlowStreams(input));
+    if (input.rejectionDraw < rejectedFraction)
+        return {ResultCode::overloaded,
+                jitteredRetryAfter(std::max(firstTokenSeconds, remaining / 6), random)};
+    if (outstandingPerSlot < 1)
         return {ResultCode::served, {}};
     if (exceedsShare(input))
         return {ResultCode::customerOverShare, jitteredRetryAfter(wait, random)};
     const double limit = queueLimit(input);
-    if (fill >= limit)
+    if (outstandingPerSlot >= limit)
         return {ResultCode::overloaded, jitteredRetryAfter(wait, random)};
     return {ResultCode::served, {}};
 }
--- a/test/admission-test.cc
+++ b/test/admission-test.cc
@@ -31,13 +31,13 @@
     ResultCode decide() { return admission.decide(input, random).code; }
 };
 
-// One engine that reads prompts one after the other, at 50 ms each, with news of its queue that is
-// 300 ms old. Callers come at 1.5 times its pace for 20 s; first tokens are due within a second.
+// Simulates an engine that reads one prompt every 50 ms and whose read delay is known 300 ms late.
+// Prompts arrive at 1.5 times its rate for 20 s; the target for first tokens is one second.
 struct PeakFixture : AdmissionFixture
 {
     static constexpr double readSeconds = 0.05;
     static constexpr double targetSeconds = 1;
-    static constexpr double newsAge = 0.3;
+    static constexpr double reportAge = 0.3;
 
     PeakFixture()
     {
@@ -45,41 +45,40 @@
         input.slots = 64;
     }
 
-    // The part of all callers whose first token comes in time.
-    double partInTime(bool turnsAway)
+    // Returns the fraction of all prompts whose first token meets the target.
+    double fractionInTime(bool rejects)
     {
-        std::deque<std::pair<double, double>> news; // when, delay of the engine then
+        std::deque<std::pair<double, double>> reports; // time, and read delay at that time
         double freeAt = 0;
-        int callers = 0;
+        int prompts = 0;
         int inTime = 0;
         for (double now = 0; now < 20; now += readSeconds / 1.5) {
-            news.emplace_back(now, std::max(0.0, freeAt - now));
-            while (news.size() > 1 && news[1].first <= now - newsAge)
-                news.pop_front();
-            ++callers;
-            input.promptReadDelaySeconds = news.front().second;
-            input.rejectionDraw = turnsAway ? random.uniform() : 1;
+            reports.emplace_back(now, std::max(0.0, freeAt - now));
+            while (reports.size() > 1 && reports[1].first <= now - reportAge)
+                reports.pop_front();
+            ++prompts;
+            input.promptReadDelaySeconds = reports.front().second;
+            input.rejectionDraw = rejects ? random.uniform() : 1;
             if (decide() != ResultCode::served)
                 continue;
             freeAt = std::max(freeAt, now) + readSeconds;
             inTime += freeAt - now <= targetSeconds ? 1 : 0;
         }
-        return static_cast<double>(inTime) / callers;
+        return static_cast<double>(inTime) / prompts;
     }
 };
 
 } // namespace
 
-// What callers see: at a peak that the engines cannot read, more than half have their first token
-// in time and the others are told at once when to come back; else nearly all wait too long. In what
-// order: callers at 1.5 times the pace, 20 s long. Why: the queue is kept below the target.
-TEST_CASE_METHOD(PeakFixture, "admission_peakBeyondThePace_keepsTheRestInTime")
+// Guards against late first tokens for nearly all callers at a peak that engines can't read. By
+// rejecting some prompts at once, more than half of all first tokens must be in time.
+TEST_CASE_METHOD(PeakFixture, "admission_peakBeyondTheReadingRate_keepsFirstTokensInTime")
 {
-    CHECK(partInTime(false) < 0.2);
-    CHECK(partInTime(true) > 0.5);
+    CHECK(fractionInTime(false) < 0.2);
+    CHECK(fractionInTime(true) > 0.5);
 }
 
-TEST_CASE_METHOD(PeakFixture, "admission_quietEngine_turnsNobodyAway")
+TEST_CASE_METHOD(PeakFixture, "admission_shortReadDelay_rejectsNothing")
 {
     input.promptReadDelaySeconds = 0.5;
     input.rejectionDraw = 0;
@@ -90,9 +89,9 @@
     CHECK(decide() == ResultCode::served);
 }
 
-// What callers see: the time after which to come back grows with the time that they have. Why:
-// those who came back after a second met the same peak and were turned away again.
-TEST_CASE_METHOD(PeakFixture, "admission_turnedAwayAtAPeak_comesBackAfterASixthOfTheTimeLeft")
+// Guards against repeated rejections: callers that retried after one second met the same peak and
+// were rejected again.
+TEST_CASE_METHOD(PeakFixture, "admission_rejectedAtAPeak_retriesAfterASixthOfTheRemainingTime")
 {
     input.promptReadDelaySeconds = 2;
     input.rejectionDraw = 0;
@@ -102,33 +101,32 @@
     CHECK(pause <= 5s);
 }
 
-TEST_CASE_METHOD(AdmissionFixture, "admission_freeSlots_takesTheRequest")
+TEST_CASE_METHOD(AdmissionFixture, "admission_freeSlots_acceptsTheRequest")
 {
     CHECK(decide() == ResultCode::served);
     input.slots = 0;
     CHECK(decide() == ResultCode::noBackendServer);
 }
 
-// What callers see: a refusal at once that says when to come back, each a different time. Why:
-// those refused together must not come back together.
-TEST_CASE_METHOD(AdmissionFixture, "admission_refusals_areSpreadOverTime")
+// Guards against callers that are rejected together and retry together.
+TEST_CASE_METHOD(AdmissionFixture, "admission_rejections_haveJitteredRetryTimes")
 {
     input.outstanding = 100;
     rc::prop("between the wait and twice the wait", [this](std::uint64_t seed) {
         Random own(seed);
-        const AdmissionDecision answer = admission.decide(input, own);
-        RC_ASSERT(answer.code == ResultCode::overloaded);
-        RC_ASSERT(answer.retryAfter >= 1s);
-        RC_ASSERT(answer.retryAfter <= 4s);
+        const AdmissionDecision decision = admission.decide(input, own);
+        RC_ASSERT(decision.code == ResultCode::overloaded);
+        RC_ASSERT(decision.retryAfter >= 1s);
+        RC_ASSERT(decision.retryAfter <= 4s);
     });
     const Duration one = admission.decide(input, random).retryAfter;
     const Duration two = admission.decide(input, random).retryAfter;
     CHECK(one != two);
 }
 
-// What the quiet customer sees: its requests are taken. In what order: one customer floods a full
-// service, another sends a few. Why: over its share a customer is refused first.
-TEST_CASE_METHOD(AdmissionFixture, "admission_floodOfOneCustomer_leavesRoomForTheOthers")
+// Guards against a customer that floods a full service and thereby causes the rejection of the few
+// requests of another: a customer over its share is rejected first.
+TEST_CASE_METHOD(AdmissionFixture, "admission_floodOfOneCustomer_acceptsRequestsOfOthers")
 {
     Customer quiet{"quiet", {}, {}, {}, 1, {}, {}, false};
     for (int i = 0; i < 10; ++i)
@@ -144,7 +142,7 @@
     CHECK(decide() == ResultCode::served);
 }
 
-TEST_CASE_METHOD(AdmissionFixture, "admission_deadlineBeforeTheQueueEnds_refusesAtOnce")
+TEST_CASE_METHOD(AdmissionFixture, "admission_deadlineBeforeTheQueueEnds_rejectsAtOnce")
 {
     input.outstanding = 15;
     input.remaining = 150ms;
@@ -158,9 +156,9 @@
     CHECK(decide() == ResultCode::deadlineTooShort);
 }
 
-// What callers see: bookings and digests are taken while notes are refused. In what order: the
-// queue fills. Why: what is left of it goes to what is worth most to the customer.
-TEST_CASE_METHOD(AdmissionFixture, "admission_fillingQueue_refusesWhatIsWorthLessFirst")
+// Guards against rejecting bookings and digests while notes are accepted: the rest of a filling
+// queue is for the services of the most worth.
+TEST_CASE_METHOD(AdmissionFixture, "admission_fillingQueue_rejectsServicesOfLessWorthFirst")
 {
     input.maxWorth = 10;
     input.outstanding = 13;
@@ -172,7 +170,7 @@
     CHECK(decide() == ResultCode::served);
 }
 
-TEST_CASE_METHOD(AdmissionFixture, "admission_fullQueue_refusesLessUrgentServicesFirst")
+TEST_CASE_METHOD(AdmissionFixture, "admission_fullQueue_rejectsLessUrgentServicesFirst")
 {
     input.outstanding = 15;
     input.priority = 0;
