--- a/include/ibisnotch/retry.h
+++ b/include/ibisnotch/retry.h
@@ -1,4 +1,4 @@
-// Whether a failed attempt may be followed by another.
+// Decides whether another attempt follows a failed one, and limits the share of retries.
 #pragma once
 
 #include <map>
@@ -11,52 +11,55 @@
 
 namespace ibisnotch {
 
-// How one attempt at a backend server or a peer ended.
+// How an attempt at a backend server or a peer ended.
 enum class AttemptOutcome {
     answered,
-    notConnected, // certain: nothing was sent
-    refusedNotRun, // certain: the other end says that it did not run the request
-    otherServer, // certain: another server has the address now
-    rejected, // a refusal that any other server would repeat
+    notConnected, // certainly not run: nothing was sent
+    refusedNotRun, // certainly not run: the receiver reports that it didn't run the request
+    otherServer, // certainly not run: another server uses the address now
+    rejected, // certainly not run: any other server would reject the request too
     connectionLost, // the connection ended after the request was sent
-    silent, // no progress in time
-    truncated, // the answer began and did not end as it should
-    mismatched, // the answer belongs to another request
-    serverError, // an answer of status 500 or above
-    callerLeft, // nobody waits for the answer any more
+    silent, // no progress within the time limit
+    truncated, // the response began and is incomplete
+    mismatched, // the response belongs to another request
+    serverError, // the response has a status of 500 or above
+    callerLeft, // the caller no longer waits for the response
 };
 
-// For logs and metrics.
+// Returns the name used in logs and metrics.
 std::string_view attemptOutcomeName(AttemptOutcome outcome);
 
-// True where it is certain that the other end did not act on the request.
+// Returns whether the receiver certainly didn't act on the request.
 bool certainlyNotRun(AttemptOutcome outcome);
 
-// Tokens that limit retries to a share of the requests, per customer and service. In an outage
-// every request fails; without the budget each would be tried several times and the load on what
-// is left of the fleet would be multiplied. Thread safe.
+// A token bucket per customer and service that limits retries to a share of the requests. In an
+// outage every request fails, and without a limit the retries would multiply the load on the
+// remaining servers. Thread safe.
 class RetryBudget
 {
 public:
     explicit RetryBudget(double burst = 5) : m_burst(burst) { }
 
-    // What may be saved up, for a bound that all instances keep together, whoever the customer.
-    // After this, a service begins with nothing saved: instances that restart together would else
-    // spend it anew.
+    // Sets the maximum number of tokens to this instance's part of a limit for all instances and
+    // customers together. From then on there is one bucket per service, and it starts empty, since
+    // instances that restart together would otherwise exceed the limit.
     void setBurst(double burst);
 
+    // Called for each new request; adds `retryShare` tokens.
     void onRequest(const std::string &customer, const std::string &service, double retryShare);
+    // Acquires one token for a retry. Returns false if there is none.
     bool tryAcquire(const std::string &customer, const std::string &service);
-    // Whether tryAcquire() would succeed now.
+    // Returns whether tryAcquire() would succeed now.
     bool canAcquire(const std::string &customer, const std::string &service);
 
 private:
+    // Returns the tokens of the bucket. m_mutex must be held.
     double &tokens(const std::string &customer, const std::string &service);
 
     double m_burst;
-    bool m_shared = false; // the burst is a part of a bound for all customers
+    bool m_shared = false; // one bucket for all customers; see setBurst()
     std::mutex m_mutex;
-    std::map<std::pair<std::string, std::string>, double> m_tokens;
+    std::map<std::pair<std::string, std::string>, double> m_tokens; // by customer and service
 };
 
 constexpr int maxAttempts = 3;
@@ -70,15 +73,16 @@
     int runsMade = 0; // attempts that may have run
     int maxRuns = maxAttempts; // the service's limit
     Duration remaining{}; // until the caller's deadline
-    Duration expected{}; // usual time of one run
+    Duration expected{}; // expected duration of one run
 };
 
 enum class RetryDecision { retry, abandon };
 
-// The rules that need no budget. Ask the budget only after RetryDecision::retry.
+// Applies the rules that don't depend on the budget. The budget is used only after
+// RetryDecision::retry.
 RetryDecision decideRetry(const RetryInput &input);
 
-// What the caller is told when an attempt was the last.
+// Returns the result code for the caller after the last attempt.
 ResultCode finalResultCode(AttemptOutcome outcome, bool idempotent, bool deadlineExpired);
 
 } // namespace ibisnotch
--- a/src/decide/retry.cc
+++ b/src/decide/retry.cc
@@ -41,9 +41,9 @@
 
 double &RetryBudget::tokens(const std::string &customer, const std::string &service)
 {
-    // The bound that all instances keep together is one for all customers.
-    const double first = m_shared ? 0 : m_burst;
-    return m_tokens.try_emplace({m_shared ? "" : customer, service}, first).first->second;
+    // A shared limit applies to all customers together.
+    const double initial = m_shared ? 0 : m_burst;
+    return m_tokens.try_emplace({m_shared ? "" : customer, service}, initial).first->second;
 }
 
 void RetryBudget::setBurst(double burst)
@@ -51,25 +51,25 @@
     const std::lock_guard lock(m_mutex);
     m_burst = burst;
     m_shared = true;
-    for (auto &[key, left] : m_tokens)
-        left = std::min(left, burst);
+    for (auto &[key, available] : m_tokens)
+        available = std::min(available, burst);
 }
 
 void RetryBudget::onRequest(const std::string &customer, const std::string &service,
                             double retryShare)
 {
     const std::lock_guard lock(m_mutex);
-    double &left = tokens(customer, service);
-    left = std::min(m_burst, left + retryShare);
+    double &available = tokens(customer, service);
+    available = std::min(m_burst, available + retryShare);
 }
 
 bool RetryBudget::tryAcquire(const std::string &customer, const std::string &service)
 {
     const std::lock_guard lock(m_mutex);
-    double &left = tokens(customer, service);
-    if (left < 1)
+    double &available = tokens(customer, service);
+    if (available < 1)
         return false;
-    left -= 1;
+    available -= 1;
     return true;
 }
 
@@ -81,16 +81,16 @@
 
 RetryDecision decideRetry(const RetryInput &input)
 {
-    const bool final = input.outcome == AttemptOutcome::answered
+    const bool isFinal = input.outcome == AttemptOutcome::answered
         || input.outcome == AttemptOutcome::rejected || input.outcome == AttemptOutcome::callerLeft;
-    if (final || input.runsMade >= input.maxRuns)
+    if (isFinal || input.runsMade >= input.maxRuns)
         return RetryDecision::abandon;
     if (input.callerHasSeenBytes || input.attemptsMade >= maxAttempts)
         return RetryDecision::abandon;
     if (input.remaining < input.expected)
         return RetryDecision::abandon;
-    // A booking whose outcome is unknown must not be sent again: the backend server may have acted
-    // on it, and a second caterer would be paid. Only a certain "not run" lets it go elsewhere.
+    // A booking with an unknown outcome must not be sent again: the backend server may have acted
+    // on it, and a second caterer would be paid. It is retried only if it certainly wasn't run.
     if (!input.idempotent && !certainlyNotRun(input.outcome))
         return RetryDecision::abandon;
     return RetryDecision::retry;
--- a/test/retry-test.cc
+++ b/test/retry-test.cc
@@ -27,10 +27,9 @@
 
 } // namespace
 
-// What the caller sees: one hot meal, or "outcome unknown". In what order: a booking is sent, the
-// connection breaks or goes silent, a retry would be possible. Why: only a certain "not run" lets a
-// booking be sent again.
-TEST_CASE("mayRetry_bookingWithUnknownOutcome_neverRetries")
+// Guards against a booking that is run twice: if the connection breaks or is silent after the
+// booking was sent, it must not be sent again.
+TEST_CASE("decideRetry_bookingWithUnknownOutcome_neverRetries")
 {
     rc::prop("never after an unknown outcome", [] {
         const RetryInput input = anyInput();
@@ -44,26 +43,24 @@
     });
 }
 
-TEST_CASE("finalCode_always_saysNotRunOnlyWhereThatIsCertain")
+TEST_CASE("finalCode_always_isNotRunOnlyWhereThatIsCertain")
 {
     for (const AttemptOutcome outcome : allOutcomes) {
         if (outcome == AttemptOutcome::answered)
             continue;
         for (const bool idempotent : {false, true}) {
             for (const bool late : {false, true}) {
-                const bool saysNotRun
+                const bool isNotRun
                     = resultInfo(finalResultCode(outcome, idempotent, late)).runState
                     == RunState::notRun;
-                CHECK(saysNotRun == certainlyNotRun(outcome));
+                CHECK(isNotRun == certainlyNotRun(outcome));
             }
         }
     }
 }
 
-// What callers see: errors, but no worse than the outage itself. In what order: every backend
-// server fails, every request is tried again. Why: retries are a share of requests, plus a small
-// burst.
-TEST_CASE("retryBudget_inAFullOutage_boundsRetriesToItsShare")
+// Guards against retries that multiply the load while all backend servers fail.
+TEST_CASE("retryBudget_fullOutage_limitsRetriesToTheShare")
 {
     rc::prop("retries <= burst + share * requests", [] {
         RetryBudget budget(5);
@@ -79,7 +76,7 @@
     });
 }
 
-TEST_CASE("retryBudget_ofOneCustomer_leavesTheOthersAlone")
+TEST_CASE("retryBudget_usedUpByOneCustomer_isAvailableToOthers")
 {
     RetryBudget budget(2);
     CHECK(budget.tryAcquire("a", "s"));
@@ -88,10 +85,9 @@
     CHECK(budget.tryAcquire("b", "s"));
 }
 
-// What the operator sees: a request on more servers than its service allows. In what order: it
-// fails here, is handed to another region, fails there, and is sent once more. Why: each instance
-// counted its own attempts only.
-TEST_CASE("mayRetry_runsOfAllInstancesUsedUp_givesUp")
+// Guards against a request that runs on more servers than its service allows because each instance
+// counts only its own attempts: it fails here, is forwarded to another region and fails there.
+TEST_CASE("decideRetry_runsOfAllInstancesUsedUp_abandons")
 {
     RetryInput input;
     input.outcome = AttemptOutcome::serverError;
@@ -106,10 +102,9 @@
     CHECK(decideRetry(input) == RetryDecision::abandon);
 }
 
-// What the operator sees: more retries than all instances may make. In what order: they are killed
-// together and start again, and each finds its savings full. Why: the bound holds for any ten
-// seconds, also across a restart.
-TEST_CASE("retryBudget_shareOfAFleetsBound_beginsEmptyAndSavesUpToIt")
+// Guards against exceeding the limit of all instances when these restart together with full
+// buckets: the limit holds for any ten seconds, also across a restart.
+TEST_CASE("retryBudget_sharedLimit_startsEmptyAndFillsToTheBurst")
 {
     RetryBudget budget;
     budget.setBurst(2);
@@ -126,8 +121,8 @@
     CHECK_FALSE(budget.tryAcquire("c", "s"));
 }
 
-// Guards against a bound that is spent once by each customer.
-TEST_CASE("retryBudget_sharedBound_isOneForAllCustomers")
+// Guards against a shared limit that each customer can use up separately.
+TEST_CASE("retryBudget_sharedLimit_appliesToAllCustomersTogether")
 {
     RetryBudget budget;
     budget.setBurst(1);
