--- a/include/ibisnotch/placement.h
+++ b/include/ibisnotch/placement.h
@@ -1,4 +1,4 @@
-// Orders to model engines: which model, version, adapter and role each should hold.
+// Plans the orders to model engines that set their model, version, adapter and role.
 #pragma once
 
 #include <cstdint>
@@ -11,11 +11,11 @@
 
 namespace ibisnotch {
 
-// The right to give orders in a region: a lease in the store, and a number that rises each time the
-// lease changes hands.
+// The lease in the store that gives one instance of a region the right to send orders.
 struct PlacementLease
 {
-    std::uint64_t fence = 0; // 0: not held
+    // Fencing token, which rises each time another instance acquires the lease; 0 if it isn't held.
+    std::uint64_t fence = 0;
     TimePoint until{};
     bool operator==(const PlacementLease &) const = default;
 };
@@ -28,7 +28,7 @@
     bool operator==(const PlacementOrder &) const = default;
 };
 
-// What an engine says it holds.
+// The placement that an engine reports.
 struct ObservedPlacement
 {
     Placement placement;
@@ -44,17 +44,19 @@
     TimePoint now{};
 };
 
-// Compares what engines report with what is wanted and gives orders until both agree. It keeps no
-// record of orders that were accepted: an engine that ignores fencing numbers may obey a former
-// holder's late order at any time, and only its own report shows that. Not thread safe.
+// Compares the placements that engines report with the configured ones and returns orders until
+// they agree. It doesn't record accepted orders: an engine that ignores fencing tokens may execute
+// a late order of a former lease holder at any time, and only its report shows that. Not thread
+// safe.
 class PlacementPlanner
 {
 public:
     struct Limits
     {
         double loadsPerMinute = 1; // this region's part of the weight store's rate
-        Duration orderRetryInterval = std::chrono::seconds(30); // before an order is given again
-        // A lease is used no longer than this before its end; it covers the way of an order.
+        Duration orderRetryInterval = std::chrono::seconds(30); // before an order is repeated
+        // Time before the end of the lease from which no orders are sent. Covers their network
+        // delay.
         Duration leaseMargin = std::chrono::seconds(2);
     };
 
@@ -62,6 +64,7 @@
 
     void setLoadsPerMinute(double rate) { m_limits.loadsPerMinute = rate; }
 
+    // Returns the orders to send now and records them as issued.
     std::vector<PlacementOrder> plan(const PlacementInput &input);
 
 private:
@@ -71,19 +74,24 @@
         TimePoint issuedAt;
     };
 
+    // Adds the tokens for the time since the last call.
     void refill(TimePoint now);
+    // Returns whether the same order was issued within the retry interval.
     bool isPending(const PlacementOrder &order, TimePoint now) const;
+    // Returns whether the engine must keep its model until another engine serves it.
     static bool waitsForSuccessor(const PlacementInput &input, const std::string &server);
+    // Returns whether no other engine serves the model that this engine serves.
     static bool isLastOfModel(const PlacementInput &input, const std::string &server);
 
     Limits m_limits;
-    double m_tokens = 0;
+    double m_tokens = 0; // each allows one load of weights; at most 1
     TimePoint m_refilledAt{};
-    std::uint64_t m_fence = 0;
-    std::map<std::string, IssuedOrder> m_issued;
+    std::uint64_t m_fence = 0; // of the lease for which orders were last planned
+    std::map<std::string, IssuedOrder> m_issued; // latest order by server
 };
 
-// The part of an engine that checks orders: the highest number seen wins.
+// Returns whether an engine that checks fencing tokens accepts an order: its token must be at least
+// the highest that the engine has seen.
 constexpr bool acceptsFence(std::uint64_t highestSeen, std::uint64_t fence)
 {
     return fence >= highestSeen;
--- a/src/decide/placement.cc
+++ b/src/decide/placement.cc
@@ -28,9 +28,9 @@
     });
 }
 
-// A load takes the engine out of service for a while. The last engine that serves a model goes on
-// until the engine that is to follow it does. Two that are to swap models, each the last of its
-// own, do not wait for each other.
+// An engine is out of service while it loads weights. The last engine that serves a model therefore
+// keeps it until the engine that is to serve it next has loaded it. Two engines that swap models,
+// each the last of its model, don't wait for each other.
 bool PlacementPlanner::waitsForSuccessor(const PlacementInput &input, const std::string &server)
 {
     const std::string &model = input.observed->at(server).placement.model;
@@ -48,16 +48,17 @@
     std::vector<PlacementOrder> orders;
     const PlacementLease &lease = input.lease;
     if (lease.fence != m_fence) {
-        // A new holder starts without tokens: the former one may just have spent its own, and both
-        // together must stay within the weight store's rate.
+        // A new lease holder starts without tokens, since the former holder may just have used its
+        // own and both together must stay within the rate of the weight store.
         m_fence = lease.fence;
         m_tokens = 0;
         m_refilledAt = input.now;
         m_issued.clear();
     }
-    // A holder that was paused may think that it still holds the lease. It looks at its clock
-    // before every order; an order on its way at that moment is caught by the fencing number, or,
-    // where an engine ignores that, put right from the engine's report by the new holder.
+    // A process that was stopped for a while may still consider itself the lease holder, so the
+    // time is checked before every order. An order sent just before the lease ends is rejected by
+    // its fencing token or, if the engine ignores that, corrected by the new holder from the
+    // engine's report.
     if (lease.fence == 0 || input.now + m_limits.leaseMargin >= lease.until)
         return orders;
     refill(input.now);
@@ -65,16 +66,16 @@
         const auto observed = input.observed->find(name);
         if (!server.placement || observed == input.observed->end())
             continue;
-        const bool done = observed->second.placement == *server.placement;
+        const bool isPlaced = observed->second.placement == *server.placement;
         const PlacementOrder order{name, *server.placement, lease.fence};
-        if (done || observed->second.loading || isPending(order, input.now))
+        if (isPlaced || observed->second.loading || isPending(order, input.now))
             continue;
-        const bool loads = observed->second.placement.model != server.placement->model
+        const bool needsLoad = observed->second.placement.model != server.placement->model
             || observed->second.placement.version != server.placement->version
             || observed->second.placement.adapter != server.placement->adapter;
-        if (loads && (m_tokens < 1 || waitsForSuccessor(input, name)))
+        if (needsLoad && (m_tokens < 1 || waitsForSuccessor(input, name)))
             continue;
-        if (loads)
+        if (needsLoad)
             m_tokens -= 1;
         m_issued[name] = {order, input.now};
         orders.push_back(order);
--- a/test/placement-test.cc
+++ b/test/placement-test.cc
@@ -11,7 +11,8 @@
 
 namespace {
 
-// Engines of one region and two holders that follow each other, each with its own delay.
+// Simulates the engines of a region and two instances that hold the lease in turn. Orders arrive in
+// any order and with any delay.
 class PlacementFleet
 {
 public:
@@ -32,77 +33,76 @@
     {
         PlacementInput input{&m_servers, &m_observed, m_leases[holder], m_now};
         for (const PlacementOrder &order : m_holders[holder].plan(input))
-            m_wire.push_back(order);
+            m_sentOrders.push_back(order);
     }
 
     void deliver(std::size_t index)
     {
-        if (m_wire.empty())
+        if (m_sentOrders.empty())
             return;
-        const auto at = m_wire.begin() + static_cast<long>(index % m_wire.size());
+        const auto at = m_sentOrders.begin() + static_cast<long>(index % m_sentOrders.size());
         const PlacementOrder order = *at;
-        m_wire.erase(at);
+        m_sentOrders.erase(at);
         ++m_delivered;
-        std::uint64_t &seen = m_seen[order.server];
-        if (m_servers[order.server].checksFencing && !acceptsFence(seen, order.fence))
+        std::uint64_t &highest = m_highestFences[order.server];
+        if (m_servers[order.server].checksFencing && !acceptsFence(highest, order.fence))
             return;
         if (m_servers[order.server].checksFencing)
-            m_neverOlder = m_neverOlder && order.fence >= seen;
-        seen = std::max(seen, order.fence);
+            m_olderNeverAccepted = m_olderNeverAccepted && order.fence >= highest;
+        highest = std::max(highest, order.fence);
         if (m_observed[order.server].placement != order.placement)
             m_loads.push_back(m_now);
         m_observed[order.server].placement = order.placement;
     }
 
-    void takeOver(std::size_t holder) { m_leases[holder] = {++m_fence, m_now + 30s}; }
+    void acquireLease(std::size_t holder) { m_leases[holder] = {++m_fence, m_now + 30s}; }
 
-    void renew(std::size_t holder) { m_leases[holder].until = m_now + 30s; }
+    void renewLease(std::size_t holder) { m_leases[holder].until = m_now + 30s; }
 
-    void want(const std::string &version)
+    void setWantedVersion(const std::string &version)
     {
         for (auto &[name, server] : m_servers)
             server.placement->version = version;
     }
 
     void advance(Duration by) { m_now += by; }
-    bool settled() const
+    bool isSettled() const
     {
         return std::all_of(m_servers.begin(), m_servers.end(), [this](const auto &entry) {
             return m_observed.at(entry.first).placement == *entry.second.placement;
         });
     }
-    bool neverOlder() const { return m_neverOlder; }
+    bool olderNeverAccepted() const { return m_olderNeverAccepted; }
     const std::vector<TimePoint> &loads() const { return m_loads; }
 
 private:
     TimePoint m_now{1h};
     std::map<std::string, BackendServer> m_servers;
     std::map<std::string, ObservedPlacement> m_observed;
-    std::map<std::string, std::uint64_t> m_seen;
+    std::map<std::string, std::uint64_t> m_highestFences;
     PlacementPlanner m_holders[2]{PlacementPlanner({}), PlacementPlanner({})};
     PlacementLease m_leases[2];
-    std::deque<PlacementOrder> m_wire;
+    std::deque<PlacementOrder> m_sentOrders;
     std::vector<TimePoint> m_loads;
     std::uint64_t m_fence = 0;
     int m_delivered = 0;
-    bool m_neverOlder = true;
+    bool m_olderNeverAccepted = true;
 };
 
 } // namespace
 
-// What callers see: engines that hold what operators want, in the end. In what order: holders
-// change, sleep and wake, orders arrive late and out of order, some engines ignore their numbers.
-// Why: orders are given from what engines report until it agrees.
-TEST_CASE("placement_holdersChangeAndOrdersAreLate_settlesOnWhatIsWanted")
+// Guards against engines that keep a wrong placement after the lease holder changed or was stopped,
+// orders arrived late and out of order, or engines ignored fencing tokens.
+TEST_CASE("placement_changingHoldersAndLateOrders_settlesOnTheConfiguration")
 {
-    rc::prop("settles, never older where checked", [] {
+    rc::prop("settles; no older token is accepted where it is checked", [] {
         PlacementFleet fleet(3);
         const int steps = *rc::gen::inRange(0, 40);
         for (int i = 0; i < steps; ++i) {
             const auto holder = *rc::gen::inRange<std::size_t>(0, 2);
             switch (*rc::gen::inRange(0, 5)) {
             case 0:
-                fleet.takeOver(holder);
+                fleet.acquireLease(holder);
                 break;
             case 1:
                 fleet.deliver(*rc::gen::inRange<std::size_t>(0, 10));
@@ -111,28 +111,28 @@
                 fleet.advance(std::chrono::seconds(*rc::gen::inRange(0, 90)));
                 break;
             case 3:
-                fleet.want(*rc::gen::element<std::string>("2", "3"));
+                fleet.setWantedVersion(*rc::gen::element<std::string>("2", "3"));
                 break;
             default:
                 fleet.plan(holder);
             }
         }
-        // Late orders of former holders land; then one holder goes on undisturbed.
+        // Late orders of former holders arrive, then one holder continues alone.
         for (int i = 0; i < 60; ++i)
             fleet.deliver(0);
-        fleet.takeOver(0);
+        fleet.acquireLease(0);
         for (int i = 0; i < 60; ++i) {
-            fleet.renew(0);
+            fleet.renewLease(0);
             fleet.plan(0);
             fleet.deliver(0);
             fleet.advance(20s);
         }
-        RC_ASSERT(fleet.settled());
-        RC_ASSERT(fleet.neverOlder());
+        RC_ASSERT(fleet.isSettled());
+        RC_ASSERT(fleet.olderNeverAccepted());
     });
 }
 
-TEST_CASE("placement_oneHolder_loadsAtTheRateOfTheWeightStore")
+TEST_CASE("placement_oneHolder_staysWithinTheRateOfTheWeightStore")
 {
     std::map<std::string, BackendServer> servers;
     std::map<std::string, ObservedPlacement> observed;
@@ -166,9 +166,8 @@
         CHECK(observed[name].placement == *server.placement);
 }
 
-// What callers see: nothing. In what order: a holder sleeps past its lease and wakes between two
-// orders. Why: it looks at its clock before each.
-TEST_CASE("placement_leaseOver_givesNoOrder")
+// Guards against orders of an instance that was stopped until its lease had expired.
+TEST_CASE("placement_leaseExpired_issuesNoOrder")
 {
     std::map<std::string, BackendServer> servers;
     servers["e"].placement = Placement{"m", "2", "", "prefill"};
@@ -180,8 +179,8 @@
     CHECK(planner.plan({&servers, &observed, {1, now + 30s}, now}).size() == 1);
 }
 
-// What callers see: no model without an engine. In what order: e1 is the last engine of m and is to
-// change to n, e2 is to follow it. Why: e1 waits until e2 serves m.
+// Guards against a model without an engine: e1, the last engine of m, is to change to n, and must
+// wait until e2 serves m.
 TEST_CASE("placement_lastEngineOfAModel_waitsForItsSuccessor")
 {
     std::map<std::string, BackendServer> servers;
