--- a/include/ibisnotch/read-delay.h
+++ b/include/ibisnotch/read-delay.h
@@ -1,4 +1,4 @@
-// How long a prompt waits at a model engine before the engine reads it.
+// Estimates how long a prompt waits at a model engine before the engine reads it.
 #pragma once
 
 #include <cstdint>
@@ -11,37 +11,41 @@
 
 namespace ibisnotch {
 
-// Engines read prompts one after the other, so under load it is the prompts ahead that make a first
-// token late, while slots are still free. Engines say with each answer how many requests wait; what
-// one of them takes is learnt from first tokens. One instance of many sees too few first tokens of
-// an engine to know the wait from them alone: what it measured was a tenth of the real one.
+// Engines read prompts one after the other. Under load, first tokens are therefore late because of
+// the prompts ahead, even while slots are free. Engines report the number of waiting requests with
+// each response, and the delay per waiting request is estimated from first tokens. First tokens
+// alone aren't enough: an instance of a large region sees so few of an engine that it measured a
+// tenth of the actual delay.
 
+// Measurement of the first token of a response.
 struct FirstTokenSample
 {
-    std::int64_t tokens = 0; // that the engine had to read
-    double waiting = 0; // requests that waited at the engine when it came
+    std::int64_t tokens = 0; // number of prompt tokens that the engine had to read
+    double waiting = 0; // waiting requests that the engine reported with the response
     Duration elapsed{}; // since the prompt was sent
-    double tokensPerMs = 0; // the best rate known of the engine's pool; 0: none yet
+    double tokensPerMs = 0; // highest known reading rate of the engine's pool; 0 if unknown
 };
 
-void recordFirstToken(ServerCounters &counters, const FirstTokenSample &first);
+// Updates the reading rate and the delay per waiting request. Not atomic: of two concurrent calls
+// one sample may be lost, which doesn't matter among many.
+void recordFirstToken(ServerCounters &counters, const FirstTokenSample &sample);
 
-// How much engines have to read of a pool's prompts. Thread safe.
+// The mean number of tokens that engines must read per prompt of each pool. Thread safe.
 class PromptLengths
 {
 public:
     void onPrompt(const std::string &pool, std::int64_t tokens);
-    double mean(const std::string &pool) const; // 0 before the first
+    double mean(const std::string &pool) const; // 0 before the first prompt
 
 private:
     mutable std::mutex m_mutex;
-    std::map<std::string, double> m_means; // smoothed
+    std::map<std::string, double> m_means; // smoothed, by pool
 };
 
-// The wait that a prompt sent now would meet, at so many milliseconds for each request ahead.
+// Returns the wait of a prompt sent now if each request ahead of it takes `msPerWaitingRequest`.
 Duration readDelay(const ServerView &view, double msPerWaitingRequest);
 
-// The time in which this many tokens are read; none while the rate is not known (0).
+// Returns the time in which an engine reads this many tokens; zero if the rate is unknown (0).
 Duration readTime(double tokensPerMs, std::int64_t tokens);
 
 } // namespace ibisnotch
--- a/src/decide/read-delay.cc
+++ b/src/decide/read-delay.cc
@@ -6,14 +6,17 @@
 
 namespace {
 
-// Shorter prompts take a step or two whatever their length, and say nothing of the rate.
-constexpr std::int64_t leastTokens = 500;
-// An engine that slows down is believed after some hundred prompts.
-constexpr double rateKept = 0.998;
-// A queue behind taken slots moves at the pace of whole answers, seconds each.
-constexpr double mostMsPerWaiting = 1000;
-// Of what is learnt, for each first token.
-constexpr double paceKept = 0.9;
+// Engines read shorter prompts in one or two steps regardless of their length, so these don't show
+// the rate.
+constexpr std::int64_t minTokensForRate = 500;
+// Factor by which the known rate falls per prompt. It follows an engine that has become slower
+// within some hundred prompts.
+constexpr double rateDecay = 0.998;
+// While all slots are taken, a queue advances only when whole answers end, which takes seconds
+// each.
+constexpr double maxMsPerWaitingRequest = 1000;
+// Weight of the previous average when a first token is added.
+constexpr double delaySmoothing = 0.9;
 
 double milliseconds(Duration duration)
 {
@@ -27,34 +30,35 @@
 
 } // namespace
 
-// Two threads that note at the same moment may lose one sample of many, which does no harm.
-void recordFirstToken(ServerCounters &counters, const FirstTokenSample &first)
+void recordFirstToken(ServerCounters &counters, const FirstTokenSample &sample)
 {
-    const double ms = std::max(0.1, milliseconds(first.elapsed));
-    // A first token that others made wait tells a rate only beside better ones.
-    const bool tellsRate = first.waiting < 1 || counters.tokensPerMs > 0;
-    if (first.tokens >= leastTokens && tellsRate)
+    const double ms = std::max(0.1, milliseconds(sample.elapsed));
+    // A first token that was delayed by other requests gives too low a rate, so it is used only if
+    // a rate is known already.
+    const bool showsRate = sample.waiting < 1 || counters.tokensPerMs > 0;
+    if (sample.tokens >= minTokensForRate && showsRate)
         counters.tokensPerMs
-            = std::max(counters.tokensPerMs * rateKept, static_cast<double>(first.tokens) / ms);
-    if (first.waiting < 1)
+            = std::max(counters.tokensPerMs * rateDecay, static_cast<double>(sample.tokens) / ms);
+    if (sample.waiting < 1)
         return;
-    const double rate = std::max(first.tokensPerMs, counters.tokensPerMs.load());
-    const double read = milliseconds(readTime(rate, first.tokens));
-    const double each = std::min(std::max(0.0, ms - read) / first.waiting, mostMsPerWaiting);
-    // The first sample of an instance that sees few says little: it is weighed against a prompt
-    // like this one for each that waits.
-    const double known
-        = counters.msPerWaitingRequest > 0 ? counters.msPerWaitingRequest.load() : read;
-    counters.msPerWaitingRequest = paceKept * known + (1 - paceKept) * each;
+    const double rate = std::max(sample.tokensPerMs, counters.tokensPerMs.load());
+    const double readMs = milliseconds(readTime(rate, sample.tokens));
+    const double delayMs
+        = std::min(std::max(0.0, ms - readMs) / sample.waiting, maxMsPerWaitingRequest);
+    // Some instances get few samples, so the first one is averaged with an initial estimate: the
+    // reading time of a prompt like this one.
+    const double previousMs
+        = counters.msPerWaitingRequest > 0 ? counters.msPerWaitingRequest.load() : readMs;
+    counters.msPerWaitingRequest = delaySmoothing * previousMs + (1 - delaySmoothing) * delayMs;
 }
 
 void PromptLengths::onPrompt(const std::string &pool, std::int64_t tokens)
 {
-    constexpr double kept = 0.98; // some fifty prompts
+    constexpr double smoothing = 0.98; // over about fifty prompts
     const std::lock_guard lock(m_mutex);
     const auto [found, added] = m_means.try_emplace(pool, static_cast<double>(tokens));
     if (!added)
-        found->second = kept * found->second + (1 - kept) * static_cast<double>(tokens);
+        found->second = smoothing * found->second + (1 - smoothing) * static_cast<double>(tokens);
 }
 
 double PromptLengths::mean(const std::string &pool) const
--- a/test/read-delay-test.cc
+++ b/test/read-delay-test.cc
@@ -15,36 +15,36 @@
 
     ReadDelayFixture() { view.counters = std::make_shared<ServerCounters>(); }
 
-    void firstTokens(int count, std::int64_t tokens, double waiting, Duration taken)
+    void recordFirstTokens(int count, std::int64_t tokens, double waiting, Duration elapsed)
     {
         for (int i = 0; i < count; ++i)
-            recordFirstToken(*view.counters, {tokens, waiting, taken, 0});
+            recordFirstToken(*view.counters, {tokens, waiting, elapsed, 0});
     }
 };
 
 } // namespace
 
-TEST_CASE_METHOD(ReadDelayFixture, "readDelay_nobodyWaits_isNone")
+TEST_CASE_METHOD(ReadDelayFixture, "readDelay_noWaitingRequests_isZero")
 {
-    firstTokens(50, 3000, 0, 75ms);
+    recordFirstTokens(50, 3000, 0, 75ms);
     CHECK(readDelay(view, 60) == 0ms);
     CHECK(readTime(view.counters->tokensPerMs, 4000) == 100ms);
 }
 
-// What callers see: first tokens of seconds, while their instance takes the engine for idle. In
-// what order: 27 instances share an engine, each sees one first token in 26 of the others'. Why:
-// the engine's own count of waiting requests holds what all of them sent.
-TEST_CASE_METHOD(ReadDelayFixture, "readDelay_othersPromptsWait_countsThemAtTheLearntPace")
+// Guards against sending prompts to a busy engine that looks idle: if 27 instances share an engine,
+// each sees few of its first tokens, but the engine's count of waiting requests includes all of
+// them.
+TEST_CASE_METHOD(ReadDelayFixture, "readDelay_promptsOfOtherInstancesWait_countsThem")
 {
-    firstTokens(1, 3000, 0, 75ms);
-    firstTokens(60, 800, 8, 820ms);
+    recordFirstTokens(1, 3000, 0, 75ms);
+    recordFirstTokens(60, 800, 8, 820ms);
     view.waiting = 8;
-    const double learnt = view.counters->msPerWaitingRequest;
-    CHECK(readDelay(view, learnt) > 700ms);
-    CHECK(readDelay(view, learnt) < 900ms);
+    const double msPerWaitingRequest = view.counters->msPerWaitingRequest;
+    CHECK(readDelay(view, msPerWaitingRequest) > 700ms);
+    CHECK(readDelay(view, msPerWaitingRequest) < 900ms);
 }
 
-TEST_CASE_METHOD(ReadDelayFixture, "readDelay_sentSinceTheReport_countsWhatStillWaits")
+TEST_CASE_METHOD(ReadDelayFixture, "readDelay_sentSinceTheReport_countsPromptsWithoutFirstToken")
 {
     view.waiting = 2;
     view.counters->sentSinceReport = 3;
@@ -52,9 +52,9 @@
     CHECK(readDelay(view, 60) == 180ms);
 }
 
-// What callers see: prompts sent to an engine that has just joined, though many wait there. Why:
-// how long each takes is learnt from first tokens, of which it has made none; the others' show it.
-TEST_CASE_METHOD(RoutingFixture, "addDelays_engineWithoutFirstTokens_isTakenForTheAverage")
+// Guards against overloading an engine that has just joined: it has sent no first tokens yet, so
+// its delay per waiting request is estimated from the other engines.
+TEST_CASE_METHOD(RoutingFixture, "addEngineEstimates_engineWithoutFirstTokens_getsTheMean")
 {
     add("known", 1, 64);
     add("new", 1, 64);
@@ -64,7 +64,7 @@
     addEngineEstimates(candidates, 2000, TimePoint{1h});
     CHECK(candidates[0].readDelaySeconds == 0);
     CHECK(candidates[1].readDelaySeconds == 0);
-    // The rate is known: each that waits counts as a prompt of the usual length.
+    // Once the rate is known, each waiting request counts as a prompt of mean length.
     recordFirstToken(*views[0].counters, {1000, 0, 25ms, 0});
     addEngineEstimates(candidates, 2000, TimePoint{1h});
     CHECK(candidates[0].readDelaySeconds == Approx(0.2));
@@ -76,13 +76,11 @@
     CHECK(candidates[1].readDelaySeconds == candidates[0].readDelaySeconds);
 }
 
-// What callers see: first tokens of 1.3 s in the region at its peak, while another has room. In
-// what order: prompts arrive faster than the engines read them; their slots are not all taken. Why:
-// a count of requests does not show prompts that wait to be read.
-TEST_CASE_METHOD(RoutingFixture,
-                 "affinityPicker_holderFarBehind_takesTheSecondThatReadsThePartsItself")
+// Guards against first tokens of 1.3 s at a peak while other servers are free: the number of
+// requests doesn't show prompts that wait to be read while slots are free.
+TEST_CASE_METHOD(RoutingFixture, "affinityPicker_holderWithLongDelay_picksTheSecondHolder")
 {
-    // Nobody runs at either, so reading the parts costs the new caller alone.
+    // No requests run at either server, so reading the prefix delays only the new one.
     add("a", 0, 64);
     add("b", 0, 64);
     makeCandidates();
@@ -96,7 +94,7 @@
     CHECK(picker.pick(input, random) != holder);
 }
 
-TEST_CASE_METHOD(RoutingFixture, "twoChoicesPicker_serverThatReadsLate_getsNothing")
+TEST_CASE_METHOD(RoutingFixture, "twoChoicesPicker_serverWithReadDelay_isNotPicked")
 {
     add("a", 2, 64);
     add("b", 20, 64);
