--- a/include/ibisnotch/stream-statistics.h
+++ b/include/ibisnotch/stream-statistics.h
@@ -1,4 +1,5 @@
-// How fast the streams of a model engine go, and how slow they may get.
+// Measures the event interval of the streams of model engines, and the interval up to which they
+// still end in time.
 #pragma once
 
 #include <map>
@@ -11,30 +12,33 @@
 
 namespace ibisnotch {
 
-// An engine makes the next tokens of all its streams together, and reads prompts in between. Once
-// it reads all the time, streams go several times as slowly: first tokens still come in time and
-// slots are free, but long answers run into their deadlines, and what they took was taken in vain.
+// An engine generates the next tokens of all its streams together and reads prompts in between. If
+// it reads prompts all the time, streams become several times slower: first tokens are still in
+// time and slots are free, but long answers exceed their deadlines and the work for them is lost.
 
-// `events` events of one stream came in `taken`.
+// Records that `events` events of one stream arrived within `elapsed`. Not atomic: of two
+// concurrent calls one sample may be lost, which doesn't matter among many.
 void recordEvents(ServerCounters &counters, int events, Duration elapsed, TimePoint now);
 
-// Seconds between two events of a stream there, smoothed; 0 where none came lately.
+// Returns the smoothed time between two events of a stream at the server; 0 if none arrived
+// recently.
 double eventIntervalSeconds(const ServerCounters &counters, TimePoint now);
 
-// What an instance has seen of the answers of each pool's services. Thread safe.
+// Statistics of the streams of each service, by which an instance decides how slow the streams of a
+// pool may become. Thread safe.
 class StreamStatistics
 {
 public:
-    // A stream of the service ended whole after this many events.
-    // `priority` is the request's.
+    // Called when a stream has ended completely after this many events; `priority` is that of the
+    // request.
     void onStreamEnded(const Service &service, int priority, const std::string &pool, int events,
                        TimePoint now);
 
-    // The seconds between two events at which long answers of the pool's services still end before
-    // their deadline, and without a pause that makes them late. 0 while nothing is known.
+    // Returns the event interval in seconds up to which long answers of all services of the pool
+    // end before their deadlines and don't exceed their maximum gap between events. 0 if unknown.
     double maxEventIntervalSeconds(const std::string &pool, TimePoint now) const;
 
-    // How many services that use the pool are less urgent than this one.
+    // Returns how many services that used the pool recently are less urgent than `priority`.
     int lessUrgentServices(const std::string &pool, int priority, TimePoint now) const;
 
 private:
@@ -42,10 +46,10 @@
     {
         std::string pool;
         int priority = 0;
-        double meanEvents = 0; // of an answer, smoothed
-        int streams = 0;
-        double maxEventIntervalSeconds = 0; // seconds between two events
-        TimePoint at{};
+        double meanEvents = 0; // mean number of events of a stream, smoothed
+        int streams = 0; // number of streams in the mean, limited to maxStreamsWeighed
+        double maxEventIntervalSeconds = 0;
+        TimePoint updatedAt{};
     };
 
     mutable std::mutex m_mutex;
--- a/test/stream-statistics-test.cc
+++ b/test/stream-statistics-test.cc
@@ -12,15 +12,15 @@
 
 namespace {
 
-struct PaceFixture
+struct StatisticsFixture
 {
     ServerCounters counters;
-    StreamStatistics habits;
-    Service answers; // long answers to short prompts
+    StreamStatistics statistics;
+    Service answers; // short prompts with long answers
     Service digests; // long prompts, less urgent
     TimePoint now{1h};
 
-    PaceFixture()
+    StatisticsFixture()
     {
         answers.name = "answers";
         answers.priority = 1;
@@ -32,17 +32,18 @@
         digests.priority = 2;
     }
 
-    void ended(const Service &service, int events, int times = 50)
+    void endStreams(const Service &service, int events, int times = 50)
     {
         for (int i = 0; i < times; ++i)
-            habits.onStreamEnded(service, service.priority, "pool", events, now);
+            statistics.onStreamEnded(service, service.priority, "pool", events, now);
     }
 };
 
-// One engine that makes an event of each stream every 50 ms, and every 300 ms while it reads. Short
-// prompts with answers of 40 events come ten times a second; long prompts that take 100 ms to read
-// come 15 times a second, half as many again as it can read. News of its pace is 200 ms old.
-struct ReadingFixture : PaceFixture
+// Simulates an engine that generates an event of each stream every 50 ms, and every 300 ms while it
+// reads prompts. Short prompts with answers of 40 events arrive ten times per second. Long prompts
+// that take 100 ms to read arrive 15 times per second, 1.5 times as many as it can read. Its event
+// interval is known 200 ms late.
+struct ReadingFixture : StatisticsFixture
 {
     Admission admission;
     Customer customer{"c", {}, {}, {}, 1, {}, {}, false};
@@ -50,18 +51,19 @@
 
     struct Stream
     {
-        double left = 40;
-        double until = 0;
+        double eventsLeft = 40;
+        double deadline = 0;
     };
 
     struct Outcome
     {
-        double answersEnded = 0; // parts of all that came
-        double answersDied = 0; // at their deadline
-        double digestsTaken = 0;
+        // Fractions of all requests of the service.
+        double answersEnded = 0;
+        double answersExpired = 0; // at their deadline
+        double digestsAccepted = 0;
     };
 
-    bool takes(const Service &service, double seconds, double bearable)
+    bool accepts(const Service &service, double seconds, double maxInterval)
     {
         AdmissionInput input;
         input.customer = &customer;
@@ -69,67 +71,68 @@
         input.slots = 128;
         input.remaining = 10s;
         input.eventIntervalSeconds = seconds;
-        input.maxEventIntervalSeconds = bearable;
+        input.maxEventIntervalSeconds = maxInterval;
         input.priority = service.priority;
-        input.lessUrgentServices = habits.lessUrgentServices("pool", service.priority, now);
+        input.lessUrgentServices = statistics.lessUrgentServices("pool", service.priority, now);
         input.rejectionDraw = random.uniform();
         return admission.decide(input, random).code == ResultCode::served;
     }
 
-    Outcome play(bool judgesPace)
+    Outcome simulate(bool limitsInterval)
     {
         constexpr double step = 0.01;
-        constexpr double calm = 0.05;
-        constexpr double reading = 0.3;
-        constexpr std::size_t newsAge = 20; // steps
-        ended(answers, 40);
-        ended(digests, 40);
-        const double bearable = judgesPace ? habits.maxEventIntervalSeconds("pool", now) : 0;
-        std::deque<double> news{calm};
+        constexpr double idleInterval = 0.05;
+        constexpr double readingInterval = 0.3;
+        constexpr std::size_t reportAge = 20; // steps
+        endStreams(answers, 40);
+        endStreams(digests, 40);
+        const double maxInterval
+            = limitsInterval ? statistics.maxEventIntervalSeconds("pool", now) : 0;
+        std::deque<double> reports{idleInterval};
         std::deque<Stream> streams;
         double toRead = 0;
-        double pace = calm;
-        int came = 0;
+        double interval = idleInterval;
+        int answersArrived = 0;
         int ended = 0;
-        int died = 0;
-        int digestsCame = 0;
-        int digestsTaken = 0;
+        int expired = 0;
+        int digestsArrived = 0;
+        int digestsAccepted = 0;
         for (int i = 0; i < 4000; ++i) {
             const double at = i * step;
-            const bool open = at < 30; // the last ones get the time to end
-            if (open && i % 10 == 0) {
-                ++came;
-                if (takes(answers, news.front(), bearable))
+            const bool isArriving = at < 30; // the last streams have time to end
+            if (isArriving && i % 10 == 0) {
+                ++answersArrived;
+                if (accepts(answers, reports.front(), maxInterval))
                     streams.push_back({40, at + 10});
             }
-            if (open && (i % 20 == 0 || i % 20 == 7 || i % 20 == 14)) {
-                ++digestsCame;
-                const bool taken = takes(digests, news.front(), bearable);
-                digestsTaken += taken ? 1 : 0;
-                toRead += taken ? 0.1 : 0;
+            if (isArriving && (i % 20 == 0 || i % 20 == 7 || i % 20 == 14)) {
+                ++digestsArrived;
+                const bool accepted = accepts(digests, reports.front(), maxInterval);
+                digestsAccepted += accepted ? 1 : 0;
+                toRead += accepted ? 0.1 : 0;
             }
-            const double each = toRead > 0 ? reading : calm;
+            const double current = toRead > 0 ? readingInterval : idleInterval;
             toRead = std::max(0.0, toRead - step);
-            pace = 0.95 * pace + 0.05 * each;
-            news.push_back(pace);
-            if (news.size() > newsAge)
-                news.pop_front();
+            interval = 0.95 * interval + 0.05 * current;
+            reports.push_back(interval);
+            if (reports.size() > reportAge)
+                reports.pop_front();
             for (Stream &stream : streams)
-                stream.left -= step / each;
+                stream.eventsLeft -= step / current;
             std::erase_if(streams, [&](const Stream &stream) {
-                ended += stream.left <= 0 ? 1 : 0;
-                died += stream.left > 0 && stream.until <= at ? 1 : 0;
-                return stream.left <= 0 || stream.until <= at;
+                ended += stream.eventsLeft <= 0 ? 1 : 0;
+                expired += stream.eventsLeft > 0 && stream.deadline <= at ? 1 : 0;
+                return stream.eventsLeft <= 0 || stream.deadline <= at;
             });
         }
-        const double all = came;
-        return {ended / all, died / all, static_cast<double>(digestsTaken) / digestsCame};
+        const double all = answersArrived;
+        return {ended / all, expired / all, static_cast<double>(digestsAccepted) / digestsArrived};
     }
 };
 
 } // namespace
 
-TEST_CASE_METHOD(PaceFixture, "eventIntervalSeconds_eventsOfStreams_followsTheirInterval")
+TEST_CASE_METHOD(StatisticsFixture, "eventIntervalSeconds_eventsOfStreams_followsTheirInterval")
 {
     CHECK(eventIntervalSeconds(counters, now) == 0);
     recordEvents(counters, 2, 100ms, now);
@@ -139,59 +142,60 @@
     CHECK(eventIntervalSeconds(counters, now) == Approx(0.2).margin(0.01));
 }
 
-// Why: an engine that nobody asked for a while may have read all that made it slow.
-TEST_CASE_METHOD(PaceFixture, "eventIntervalSeconds_noEventsForASecond_isUnknown")
+// Guards against an outdated interval: an engine without events for a while may have read all
+// prompts that made it slow.
+TEST_CASE_METHOD(StatisticsFixture, "eventIntervalSeconds_noEventsForASecond_isUnknown")
 {
     recordEvents(counters, 1, 200ms, now);
     CHECK(eventIntervalSeconds(counters, now + 2s) == 0);
 }
 
-TEST_CASE_METHOD(PaceFixture, "streamHabits_longAnswers_bearNoMoreThanTheirDeadlineGives")
+TEST_CASE_METHOD(StatisticsFixture, "streamStatistics_longAnswers_limitTheIntervalByTheirDeadline")
 {
-    CHECK(habits.maxEventIntervalSeconds("pool", now) == 0);
-    ended(answers, 40);
-    CHECK(habits.maxEventIntervalSeconds("pool", now) == Approx(0.1)); // 8 s for 80 events
-    CHECK(habits.maxEventIntervalSeconds("other", now) == 0);
-    CHECK(habits.maxEventIntervalSeconds("pool", now + 1min) == 0);
+    CHECK(statistics.maxEventIntervalSeconds("pool", now) == 0);
+    endStreams(answers, 40);
+    CHECK(statistics.maxEventIntervalSeconds("pool", now) == Approx(0.1)); // 8 s for 80 events
+    CHECK(statistics.maxEventIntervalSeconds("other", now) == 0);
+    CHECK(statistics.maxEventIntervalSeconds("pool", now + 1min) == 0);
 }
 
-// What callers see: prompts refused by idle engines. In what order: an operator shortens a
-// service's deadline to just above its target; the streams of its pool seem to bear no pace at all.
-// Why: half of the deadline is left to a stream whatever the target says.
-TEST_CASE_METHOD(PaceFixture, "streamHabits_targetNearTheDeadline_leavesHalfOfIt")
+// Guards against rejecting all prompts of a pool if an operator sets a service's deadline to just
+// above its target, which would leave no time for the stream.
+TEST_CASE_METHOD(StatisticsFixture,
+                 "streamStatistics_targetNearTheDeadline_leavesHalfOfTheDeadline")
 {
     answers.deadline = 2600ms;
     answers.targetLatency = 2500ms;
-    ended(answers, 2);
-    CHECK(habits.maxEventIntervalSeconds("pool", now) == Approx(0.325)); // 1.3 s for 4 events
+    endStreams(answers, 2);
+    CHECK(statistics.maxEventIntervalSeconds("pool", now) == Approx(0.325)); // 1.3 s for 4 events
 }
 
-TEST_CASE_METHOD(PaceFixture, "streamHabits_pausesMakeLate_bearHalfOfTheLongest")
+TEST_CASE_METHOD(StatisticsFixture, "streamStatistics_maxEventGap_limitsTheIntervalToHalfOfIt")
 {
     answers.maxEventGap = 100ms;
-    ended(answers, 2);
-    CHECK(habits.maxEventIntervalSeconds("pool", now) == Approx(0.05));
+    endStreams(answers, 2);
+    CHECK(statistics.maxEventIntervalSeconds("pool", now) == Approx(0.05));
 }
 
-TEST_CASE_METHOD(PaceFixture, "streamHabits_lessUrgent_countsServicesOfThePoolInUse")
+TEST_CASE_METHOD(StatisticsFixture,
+                 "streamStatistics_lessUrgentServices_countsRecentServicesOfThePool")
 {
-    ended(answers, 40);
-    ended(digests, 40);
-    CHECK(habits.lessUrgentServices("pool", answers.priority, now) == 1);
-    CHECK(habits.lessUrgentServices("pool", digests.priority, now) == 0);
-    CHECK(habits.lessUrgentServices("pool", answers.priority, now + 1min) == 0);
+    endStreams(answers, 40);
+    endStreams(digests, 40);
+    CHECK(statistics.lessUrgentServices("pool", answers.priority, now) == 1);
+    CHECK(statistics.lessUrgentServices("pool", digests.priority, now) == 0);
+    CHECK(statistics.lessUrgentServices("pool", answers.priority, now + 1min) == 0);
 }
 
-// What callers see: answers that break off at their deadline, most of them near their end, though
-// slots are free and first tokens come in time. In what order: long prompts come faster than the
-// engine reads them; each is taken; the streams beside them go at a sixth of their pace. Why: what
-// cannot be read without stopping the others is turned away at once, the less urgent first.
-TEST_CASE_METHOD(ReadingFixture, "admission_promptsBeyondThePace_answersStillEnd")
+// Guards against answers that exceed their deadlines, most of them near their end, although slots
+// are free and first tokens are in time: if all of too many long prompts are accepted, reading them
+// slows the streams to a sixth. Some must be rejected, those of the less urgent service first.
+TEST_CASE_METHOD(ReadingFixture, "admission_promptsBeyondTheReadingRate_answersStillEnd")
 {
-    const Outcome without = play(false);
-    const Outcome with = play(true);
-    CHECK(without.answersDied > 0.5);
+    const Outcome without = simulate(false);
+    const Outcome with = simulate(true);
+    CHECK(without.answersExpired > 0.5);
     CHECK(with.answersEnded > 0.5);
-    CHECK(with.answersDied < 0.1);
-    CHECK(with.digestsTaken > 0.3);
+    CHECK(with.answersExpired < 0.1);
+    CHECK(with.digestsAccepted > 0.3);
 }
