--- a/include/ibisnotch/server-list.h
+++ b/include/ibisnotch/server-list.h
@@ -1,4 +1,4 @@
-// The platform's list of live backend servers, as one instance holds it.
+// One instance's copy of the platform's list of live backend servers.
 #pragma once
 
 #include <map>
@@ -9,23 +9,25 @@
 
 namespace ibisnotch {
 
-// An entry that vanishes may mean that its server is gone, or only that its lease ran out while the
-// store was away; the server then writes it again within about two seconds of the store's return.
-// Dropping such servers at once would leave no server at all for those seconds, so a server that
-// was not leaving is kept that long after its entry vanished, marked as missing: no entry would
-// tell that it turned cold. Not thread safe.
+// A removed entry may mean that the server has stopped, or only that its lease expired while the
+// store was unreachable. In the second case the server writes the entry again within about two
+// seconds of the store's return. If such servers were dropped at once, none would be left in that
+// time. A server that wasn't leaving is therefore kept for missingGrace after its entry was
+// removed, marked as missing because the list can't show that it became cold. Not thread safe.
 class ServerList
 {
 public:
-    // How long the platform gives a live server to be back after the store's return, and a little
-    // for the way of the news. Must stay under the time in which leaving servers may still get
-    // work.
+    // Time in which a live server has to write its entry after the store's return, plus a margin
+    // for the network delay of the update. Must be shorter than the time in which leaving servers
+    // still accept requests.
     static constexpr Duration missingGrace = std::chrono::milliseconds(2300);
 
+    // Adds or replaces an entry.
     void put(ListedServer server);
+    // Drops a leaving server and marks any other as missing.
     void remove(const std::string &name, TimePoint now);
 
-    // Drops what has been missing too long. True if anything was dropped.
+    // Drops servers that have been missing for missingGrace. Returns whether any was dropped.
     bool expire(TimePoint now);
 
     const std::map<std::string, ListedServer> &servers() const { return m_servers; }
--- a/src/decide/server-list.cc
+++ b/src/decide/server-list.cc
@@ -30,11 +30,11 @@
 
 bool ServerList::expire(TimePoint now)
 {
-    const auto gone = std::erase_if(m_servers, [now](const auto &entry) {
+    const auto dropped = std::erase_if(m_servers, [now](const auto &entry) {
         const TimePoint since = entry.second.missingSince;
         return since != TimePoint{} && now - since >= missingGrace;
     });
-    return gone > 0;
+    return dropped > 0;
 }
 
 } // namespace ibisnotch
--- a/test/server-list-test.cc
+++ b/test/server-list-test.cc
@@ -23,10 +23,9 @@
 
 } // namespace
 
-// What callers see: refusals from a region with sound servers. In what order: the store is away,
-// the servers' leases run out, it returns without their entries, which they write again within two
-// seconds. Why: a removal that took effect at once would leave no server meanwhile.
-TEST_CASE_METHOD(ServerListFixture, "serverList_lapsedEntryThatComesBack_isNeverMissing")
+// Guards against rejected requests while servers work: if their leases expire while the store is
+// unreachable, it returns without their entries, and they write these again within two seconds.
+TEST_CASE_METHOD(ServerListFixture, "serverList_expiredEntryWrittenAgain_isKeptThroughout")
 {
     list.put(server("a"));
     list.remove("a", now);
@@ -39,7 +38,7 @@
     CHECK(list.servers().at("a").missingSince == TimePoint{});
 }
 
-TEST_CASE_METHOD(ServerListFixture, "serverList_entryThatStaysAway_isDroppedAfterTheGrace")
+TEST_CASE_METHOD(ServerListFixture, "serverList_entryStaysMissing_isDroppedAfterTheGrace")
 {
     list.put(server("a"));
     list.remove("a", now);
@@ -48,7 +47,7 @@
     CHECK(list.servers().empty());
 }
 
-TEST_CASE_METHOD(ServerListFixture, "serverList_leavingServerRemoved_goesAtOnce")
+TEST_CASE_METHOD(ServerListFixture, "serverList_leavingServerRemoved_isDroppedAtOnce")
 {
     list.put(server("a", true));
     list.remove("a", now);
