--- a/test/retry-test.cc
+++ b/test/retry-test.cc
@@ -43,7 +43,7 @@
     });
 }
 
-TEST_CASE("finalCode_always_isNotRunOnlyWhereThatIsCertain")
+TEST_CASE("finalResultCode_anyOutcome_isNotRunOnlyIfCertain")
 {
     for (const AttemptOutcome outcome : allOutcomes) {
         if (outcome == AttemptOutcome::answered)
