--- a/src/decide/prefix-follower.cc
+++ b/src/decide/prefix-follower.cc
@@ -88,6 +88,7 @@
     if (!m_watching)
         return {};
     if (update.base > m_asOf) {
+        // Changes are missing in between, so the next call is made at once.
         m_updateValidUntil = at;
         return {};
     }
@@ -106,7 +107,7 @@
 
 std::vector<StoreItem> PrefixFollower::removeUnnamedKeys(const RangeUpdate &update)
 {
-    std::map<std::string, std::uint64_t> changedAt; // with the revision of its last change
+    std::map<std::string, std::uint64_t> changedAt; // revision of the last change of each key
     for (const StoreItem &item : update.items)
         changedAt[item.key] = std::max(changedAt[item.key], item.revision);
     std::vector<StoreItem> removals;
