--- a/src/entry/exchange.cc
+++ b/src/entry/exchange.cc
@@ -2,7 +2,7 @@
 
 #include <nlohmann/json.hpp>
 
-#include "ibisnotch/answer-check.h"
+#include "ibisnotch/response-check.h"
 
 namespace ibisnotch {
 
