--- a/include/ibisnotch/http-client.h
+++ b/include/ibisnotch/http-client.h
@@ -103,6 +103,7 @@
     std::unique_ptr<Private> m_d;
 };
 
+// How a transfer ended, and what was received of the response.
 struct BufferedResponse
 {
     TransferResult result;
