--- a/src/entry/attempt.cc
+++ b/src/entry/attempt.cc
@@ -7,8 +7,8 @@
 
 namespace {
 
-constexpr std::size_t maxBufferedBody = 1U << 20;
-constexpr std::size_t maxPendingToCaller = 1U << 20;
+constexpr std::size_t maxBufferedBytes = 1U << 20;
+constexpr std::size_t maxPendingBytes = 1U << 20;
 
 } // namespace
 
@@ -45,7 +45,7 @@
     recordEventInterval();
     if (!outcome && !passed.empty() && !m_reader->isStreaming() && !m_exceedsBuffer) {
         m_response.body += passed;
-        if (m_response.body.size() <= maxBufferedBody)
+        if (m_response.body.size() <= maxBufferedBytes)
             return true;
         // From here on the caller sees a failure only as a connection that ends early.
         m_exceedsBuffer = true;
@@ -80,7 +80,7 @@
 bool Dispatch::Attempt::isCongested() const
 {
     return m_dispatch->m_streamStarted
-        && m_dispatch->m_exchange->responder->pendingBytes() > maxPendingToCaller;
+        && m_dispatch->m_exchange->responder->pendingBytes() > maxPendingBytes;
 }
 
 AttemptOutcome Dispatch::Attempt::outcomeOf(const TransferResult &result) const
--- a/src/entry/cold-server-monitor.cc
+++ b/src/entry/cold-server-monitor.cc
@@ -43,7 +43,7 @@
 }
 
 std::optional<ColdUpdate> ColdServerMonitor::onHealthCheckEnded(const ColdCheck &check,
-                                                                const BufferedResponse &answer)
+                                                                const BufferedResponse &reply)
 {
     constexpr int statusOk = 200;
     const ServerView &view = check.view;
@@ -53,11 +53,11 @@
     Target target;
     target.name = view.server.name;
     target.incarnation = view.incarnation;
-    const auto left = m_protocol.remainingColdTime(answer);
-    if (!m_protocol.isSameIncarnation(target, answer))
+    const auto left = m_protocol.remainingColdTime(reply);
+    if (!m_protocol.isSameIncarnation(target, reply))
         return std::nullopt;
     // A server that rejects the check doesn't report whether it is warm.
-    if (!left && answer.response.status == statusOk)
+    if (!left && reply.response.status == statusOk)
         recordWarm(*view.counters, check.sentWhenStarted, now);
     if (!left)
         return std::nullopt;
--- a/src/entry/cold-server-monitor.h
+++ b/src/entry/cold-server-monitor.h
@@ -38,7 +38,7 @@
     // Evaluates the response to a check. Returns the update for the region's other instances, if
     // there is one.
     std::optional<ColdUpdate> onHealthCheckEnded(const ColdCheck &check,
-                                                 const BufferedResponse &answer);
+                                                 const BufferedResponse &reply);
     // Applies an update, from another instance of the region or from a check. Returns true if it
     // changed anything.
     bool onUpdate(const ColdUpdate &update);
--- a/src/entry/dispatch-booking.cc
+++ b/src/entry/dispatch-booking.cc
@@ -116,8 +116,8 @@
     // claim was granted is enough: the claim page of an expired key may be deleted, but no instance
     // accepts that key any more, so it cannot be claimed again.
     const auto &key = std::get<CallerKey>(*m_exchange->bookingKey);
-    const Duration life = m_exchange->config().limits.bookingKeyLifetime;
-    if (!isKeyAccepted(key, m_state.clock.wallNow(), life) || remaining().count() <= 0) {
+    const Duration lifetime = m_exchange->config().limits.bookingKeyLifetime;
+    if (!isKeyAccepted(key, m_state.clock.wallNow(), lifetime) || remaining().count() <= 0) {
         settleNotRun();
         return refuse({ResultCode::bookingNotRun, "", jitteredRetryAfter(1, m_state.random)});
     }
--- a/src/entry/dispatch-end.cc
+++ b/src/entry/dispatch-end.cc
@@ -173,8 +173,8 @@
     if (m_routeInputs.listAge)
         text += fmt::format(";list:{},age:{}", m_routeInputs.listRevision,
                             millisecondsText(*m_routeInputs.listAge));
-    if (m_statusCheckWaits > 0)
-        text += fmt::format(",looks:{}", m_statusCheckWaits);
+    if (m_coldCheckWaits > 0)
+        text += fmt::format(",looks:{}", m_coldCheckWaits);
     return text;
 }
 
--- a/src/entry/dispatch-plan.cc
+++ b/src/entry/dispatch-plan.cc
@@ -14,8 +14,8 @@
 
 constexpr double noServerRetrySeconds = 2;
 // The check of a possibly cold server takes a tick of the control loop and one network round trip.
-constexpr Duration statusCheckWait = std::chrono::milliseconds(30);
-constexpr int maxStatusCheckWaits = 16;
+constexpr Duration coldCheckWait = std::chrono::milliseconds(30);
+constexpr int maxColdCheckWaits = 16;
 // Two rounds of probes. A member that joins receives the other members in its first round.
 constexpr Duration membershipSettleTime = std::chrono::seconds(2);
 
@@ -261,8 +261,8 @@
 {
     const TimePoint now = m_state.clock.now();
     auto candidates = candidatesIn(table);
-    if (!keepReadyCandidates(table, candidates) && m_statusCheckWaits < maxStatusCheckWaits)
-        return PlanAgain{statusCheckWait};
+    if (!keepReadyCandidates(table, candidates) && m_coldCheckWaits < maxColdCheckWaits)
+        return PlanAgain{coldCheckWait};
     if (candidates.empty())
         return Refusal{ResultCode::noBackendServer, "",
                        jitteredRetryAfter(noServerRetrySeconds, m_state.random)};
--- a/src/entry/dispatch.cc
+++ b/src/entry/dispatch.cc
@@ -101,7 +101,7 @@
         return refuse(*refusal);
     }
     if (const auto *wait = std::get_if<PlanAgain>(&planned)) {
-        ++m_statusCheckWaits;
+        ++m_coldCheckWaits;
         trace("waiting for the check of a server that may be cold");
         return m_client.postAfter(wait->time, [self = shared_from_this()] { self->route(); });
     }
@@ -462,8 +462,8 @@
         request.limits.total = std::chrono::seconds(1);
         request.useNewConnection = true;
         sendBuffered(
-            self->m_client, std::move(request), [self, target](const BufferedResponse &answer) {
-                if (!self->m_protocol.isSameIncarnation(target, answer))
+            self->m_client, std::move(request), [self, target](const BufferedResponse &reply) {
+                if (!self->m_protocol.isSameIncarnation(target, reply))
                     return;
                 std::vector<CrashMark> cleared;
                 {
--- a/src/entry/dispatch.h
+++ b/src/entry/dispatch.h
@@ -161,7 +161,7 @@
     bool m_isQuarantineTrial = false;
     bool m_forwardedToRegion = false; // an attempt went to another region that did not reject it
     bool m_stayInRegion = false; // another region rejected the request
-    int m_statusCheckWaits = 0; // times that the request waited for checks of possibly cold servers
+    int m_coldCheckWaits = 0; // times that the request waited for checks of possibly cold servers
     int m_attempts = 0;
     int m_runs = 0; // attempts that may have run
     std::weak_ptr<Attempt> m_currentAttempt;
--- a/src/entry/exchange.h
+++ b/src/entry/exchange.h
@@ -67,7 +67,7 @@
     std::optional<int> urgency; // for servers that order their queue; 0 is most urgent
     double usageCounted = 0; // amount counted against the customer's usage cap
     std::string pool; // selected once for all attempts; empty if the service has no pools
-    bool streaming = false;
+    bool streaming = false; // whether the caller expects a stream
     std::string lastEventId; // the last event that the caller has received; empty if none
     std::vector<std::string> allowedRegions; // by the residency rules
     std::optional<BookingKey> bookingKey;
--- a/src/entry/placement-controller.cc
+++ b/src/entry/placement-controller.cc
@@ -158,13 +158,13 @@
         request.limits.total = std::chrono::seconds(1);
         sendBuffered(
             m_client, std::move(request),
-            [this, name = name](const BufferedResponse &answer) { onObserved(name, answer); });
+            [this, name = name](const BufferedResponse &reply) { onObserved(name, reply); });
     }
 }
 
-void PlacementController::onObserved(const std::string &server, const BufferedResponse &answer)
+void PlacementController::onObserved(const std::string &server, const BufferedResponse &reply)
 {
-    const auto body = nlohmann::json::parse(answer.response.body, nullptr, false);
+    const auto body = nlohmann::json::parse(reply.response.body, nullptr, false);
     const nlohmann::json::json_pointer first("/data/0");
     if (!body.is_object() || !body.contains(first)) {
         m_observed.erase(server);
--- a/src/entry/placement-controller.h
+++ b/src/entry/placement-controller.h
@@ -29,7 +29,7 @@
     void renewLease();
     void abandonLease();
     void queryPlacements();
-    void onObserved(const std::string &server, const BufferedResponse &answer);
+    void onObserved(const std::string &server, const BufferedResponse &reply);
     void sendOrders();
     void send(const PlacementOrder &order);
 
--- a/src/entry/protocol.h
+++ b/src/entry/protocol.h
@@ -28,7 +28,6 @@
     std::uint64_t incarnation = 0; // as last reported by the backend server; 0 for a peer
 };
 
-// The load that a backend server reports in a response.
 // The load that a backend server reports in a response.
 struct ResponseLoad
 {
@@ -82,7 +81,6 @@
     // Returns the id that the request carries; empty if this instance has to create one.
     virtual std::string requestId(const HttpRequest &request, bool fromPeer) const = 0;
 
-    // Returns the response to a request that this instance refuses.
     // Returns the response to a request that this instance refuses.
     virtual HttpResponse makeRefusal(const Exchange &exchange, const Refusal &refusal,
                                      const std::string &servedBy) const = 0;
@@ -110,7 +108,7 @@
     virtual OutgoingRequest makeStatusQuery(const BackendServer &server) const = 0;
     // Returns true if the response to a health check comes from the server process that `target`
     // names, not from one that was started later.
-    virtual bool isSameIncarnation(const Target &target, const BufferedResponse &answer) const = 0;
+    virtual bool isSameIncarnation(const Target &target, const BufferedResponse &reply) const = 0;
     // Returns how much longer the server is cold according to that response; empty if it is warm
     // or the response doesn't say so.
     virtual std::optional<Duration> remainingColdTime(const BufferedResponse &) const
--- a/src/entry/silent-server-monitor.cc
+++ b/src/entry/silent-server-monitor.cc
@@ -161,11 +161,11 @@
     return due;
 }
 
-void SilentServerMonitor::onStatusCheckEnded(const ServerView &view, const BufferedResponse &answer)
+void SilentServerMonitor::onStatusCheckEnded(const ServerView &view, const BufferedResponse &reply)
 {
-    const bool answered = answer.result.outcome == TransferOutcome::complete;
-    recordHealthCheck(*view.counters, answered, m_state.clock.now());
-    if (answered)
+    const bool responded = reply.result.outcome == TransferOutcome::complete;
+    recordHealthCheck(*view.counters, responded, m_state.clock.now());
+    if (responded)
         return;
     logLine(LogPart::load, LogLevel::info, "Backend server did not respond to a status check.",
             {{"server", view.server.name},
@@ -191,7 +191,7 @@
 }
 
 std::vector<SilenceUpdate> SilentServerMonitor::onHealthCheckEnded(const ServerView &view,
-                                                                   const BufferedResponse &answer)
+                                                                   const BufferedResponse &reply)
 {
     constexpr int statusOk = 200;
     const std::string &name = view.server.name;
@@ -199,7 +199,7 @@
     target.name = name;
     target.incarnation = view.incarnation;
     const bool healthy
-        = answer.response.status == statusOk && m_protocol.isSameIncarnation(target, answer);
+        = reply.response.status == statusOk && m_protocol.isSameIncarnation(target, reply);
     if (!healthy || m_silent.count(name) == 0)
         return {};
     restoreWithoutResponse(view, "health check");
--- a/src/entry/silent-server-monitor.h
+++ b/src/entry/silent-server-monitor.h
@@ -24,11 +24,11 @@
     // Applies an update from another instance of the region.
     void onUpdate(const SilenceUpdate &update);
 
-    // Returns the silent servers that need a status check now. One is made before the requests
-    // running there are aborted.
+    // Returns the silent servers that need a status check now. The requests running on a silent
+    // server are aborted only after it has failed one.
     std::vector<ServerView> dueForStatusCheck();
     // Records the result of a status check. A response of any kind shows that the server works.
-    void onStatusCheckEnded(const ServerView &view, const BufferedResponse &answer);
+    void onStatusCheckEnded(const ServerView &view, const BufferedResponse &reply);
 
     // Returns the servers taken out of use that need a health check now. The caller checks only
     // those that it is responsible for.
@@ -36,7 +36,7 @@
     // Evaluates the response to a health check. Returns the updates for the region's other
     // instances.
     std::vector<SilenceUpdate> onHealthCheckEnded(const ServerView &view,
-                                                  const BufferedResponse &answer);
+                                                  const BufferedResponse &reply);
 
 private:
     struct SilentServer
