--- a/src/entry/filters.cc
+++ b/src/entry/filters.cc
@@ -84,8 +84,8 @@
         const auto limit = static_cast<std::size_t>(exchange.config().limits.maxBodyBytes);
         if (exchange.request.body.size() > limit)
             return Refusal{ResultCode::bodyTooLarge, "limit " + std::to_string(limit), {}};
-        const auto refusal
-            = exchange.request.path == chatPath ? chat(exchange) : application(exchange);
+        const auto refusal = exchange.request.path == chatPath ? parseChatRequest(exchange)
+                                                               : findApplicationService(exchange);
         if (refusal)
             return refusal;
         exchange.trace.service = exchange.service->name;
@@ -105,7 +105,7 @@
     }
 
 private:
-    static std::optional<Refusal> chat(Exchange &exchange)
+    static std::optional<Refusal> parseChatRequest(Exchange &exchange)
     {
         if (exchange.request.method != "POST")
             return Refusal{ResultCode::noSuchPath, "POST expected", {}};
@@ -138,7 +138,7 @@
         return Refusal{ResultCode::unknownService, "no such service for this model", {}};
     }
 
-    static std::optional<Refusal> application(Exchange &exchange)
+    static std::optional<Refusal> findApplicationService(Exchange &exchange)
     {
         const std::string name = exchange.request.path.substr(servicesPath.size());
         const auto found = exchange.config().services.find(name);
@@ -269,8 +269,8 @@
     {
         if (!cap.countsTokens)
             return 1;
-        const std::int64_t named = prompt.tokens + prompt.maxAnswerTokens;
-        return named > 0 ? static_cast<double>(named) : cap.plainTokens;
+        const std::int64_t countedTokens = prompt.tokens + prompt.maxAnswerTokens;
+        return countedTokens > 0 ? static_cast<double>(countedTokens) : cap.plainTokens;
     }
 
     static std::string reasonText(const UsageDecision &decision, const Customer &customer)
@@ -300,8 +300,8 @@
         if (!key.ok())
             return Refusal{resultCodeOf(key.status()), std::string(key.status().message()), {}};
         const auto *callerKey = std::get_if<CallerKey>(&*key);
-        const Duration life = exchange.config().limits.bookingKeyLifetime;
-        if (callerKey != nullptr && !isKeyAccepted(*callerKey, m_state.clock.wallNow(), life))
+        const Duration lifetime = exchange.config().limits.bookingKeyLifetime;
+        if (callerKey != nullptr && !isKeyAccepted(*callerKey, m_state.clock.wallNow(), lifetime))
             return Refusal{ResultCode::bookingKeyForm, "the key's time is not accepted", {}};
         exchange.bookingKey = *key;
         exchange.bookingKeyText = callerKey != nullptr ? callerKey->text : *text;
--- a/src/entry/path-rule-filters.cc
+++ b/src/entry/path-rule-filters.cc
@@ -47,18 +47,18 @@
     static const Customer *customerOf(const Exchange &exchange)
     {
         const FleetConfig &config = exchange.config();
-        const auto named = [&config](const std::string &name) {
+        const auto findByName = [&config](const std::string &name) {
             const auto found = config.customers.find(name);
             return found == config.customers.end() ? nullptr : &found->second;
         };
         if (exchange.forwardedCustomer)
             return exchange.forwardedCustomer->empty() ? nullptr
-                                                       : named(*exchange.forwardedCustomer);
+                                                       : findByName(*exchange.forwardedCustomer);
         const Customer *owner = exchange.apiKey.empty() || exchange.fromPeer || !config.requiresKeys
             ? nullptr
             : findCustomerByKey(config, exchange.apiKey);
         if (owner == nullptr && (exchange.service->allowsAnonymous || !config.requiresKeys))
-            return named(std::string(anonymousCustomerName));
+            return findByName(std::string(anonymousCustomerName));
         return owner;
     }
 
--- a/src/entry/placement-controller.h
+++ b/src/entry/placement-controller.h
@@ -41,9 +41,9 @@
     Store &m_store;
     PlacementPlanner m_planner;
     PlacementLease m_lease;
-    std::string m_session;
-    bool m_acquiring = false;
-    std::map<std::string, ObservedPlacement> m_observed;
+    std::string m_session; // id of the store session that holds the lease
+    bool m_acquiring = false; // whether a lease is being acquired
+    std::map<std::string, ObservedPlacement> m_observed; // by server name
 };
 
 } // namespace ibisnotch
--- a/src/entry/silent-server-monitor.h
+++ b/src/entry/silent-server-monitor.h
@@ -24,8 +24,8 @@
     // Applies an update from another instance of the region.
     void onUpdate(const SilenceUpdate &update);
 
-    // Returns the silent servers that need a status check now. The requests running on a silent
-    // server are aborted only after it has failed one.
+    // Returns the silent servers that need a status check now, before the attempts running there
+    // are ended.
     std::vector<ServerView> dueForStatusCheck();
     // Records the result of a status check. A response of any kind shows that the server works.
     void onStatusCheckEnded(const ServerView &view, const BufferedResponse &reply);
