--- a/include/ibisnotch/region-choice.h
+++ b/include/ibisnotch/region-choice.h
@@ -87,7 +87,7 @@
 {
     std::optional<std::string> region; // empty if no region can run the request now
     double waitSeconds = 0;
-    bool residencyForbids = false; // no region that this instance may send it to is allowed
+    bool residencyForbids = false; // residency excludes every region that can be used
     bool operator==(const RegionDecision &) const = default;
 };
 
--- a/include/ibisnotch/server-table.h
+++ b/include/ibisnotch/server-table.h
@@ -89,7 +89,7 @@
     std::atomic<Duration::rep> recoveredAt = 0; // when recoveryEpoch last rose
     std::atomic<Duration::rep> lastReceivedAt = 0; // when a byte of any response last arrived
     // When the server last responded to any instance of the region, by the reports received so far.
-    std::atomic<Duration::rep> lastAnsweredAt = 0;
+    std::atomic<Duration::rep> lastRespondedAt = 0;
     std::atomic<Duration::rep> waitingSince = 0; // when awaitedRequests last rose from zero
     // Health checks that this instance sent because the server was silent.
     std::atomic<Duration::rep> healthCheckSentAt = 0;
@@ -233,8 +233,8 @@
     void setSenders(std::vector<std::string> senders);
 
     // Records the load that a server reported in a response to this instance.
-    void onAnswerLoad(const std::string &server, std::uint32_t running, std::uint32_t waiting,
-                      TimePoint now);
+    void onResponseLoad(const std::string &server, std::uint32_t running, std::uint32_t waiting,
+                        TimePoint now);
 
     // Returns up to `maxCount` reports that haven't been shared with the other instances of the
     // region, those of the servers shared least recently first, and marks them as shared. Reports
--- a/include/ibisnotch/silence.h
+++ b/include/ibisnotch/silence.h
@@ -39,7 +39,7 @@
 bool tryAcquireHealthCheck(ServerCounters &counters, TimePoint now);
 
 // Records the result of a health check.
-void recordHealthCheck(ServerCounters &counters, bool answered, TimePoint now);
+void recordHealthCheck(ServerCounters &counters, bool passed, TimePoint now);
 
 // Returns whether a server is silent and has also failed a health check since.
 bool isUnresponsive(const ServerCounters &counters, TimePoint now);
--- a/include/ibisnotch/warmup.h
+++ b/include/ibisnotch/warmup.h
@@ -13,6 +13,7 @@
 
 namespace ibisnotch {
 
+// Limit for the requests that all instances together send to a cold server.
 struct WarmupBound
 {
     double factor = 1; // times the pool's warm-up rate
@@ -35,7 +36,8 @@
 bool canSendWarmupRequest(const ServerCounters &counters, Duration interval, TimePoint coldSince,
                           TimePoint now);
 
-// Acquires the right to send such a request. Returns false if another thread acquired it first.
+// Acquires the right to send one such request. Returns false if none may be sent now, for example
+// because another thread has just acquired the right.
 bool tryAcquireWarmupRequest(ServerCounters &counters, Duration interval, TimePoint coldSince,
                              TimePoint now);
 
@@ -80,7 +82,7 @@
 struct PossiblyColdChoice
 {
     std::vector<std::size_t> ready; // indexes of the servers that may get a request now
-    bool wait = false; // a server becomes ready soon, after a status check
+    bool wait = false; // none is ready, but one may be after its next status check
     bool operator==(const PossiblyColdChoice &) const = default;
 };
 
--- a/src/decide/region-choice.cc
+++ b/src/decide/region-choice.cc
@@ -134,9 +134,9 @@
     const std::string &holder = input.holderRegion;
     if (holder.empty() || holder == input.localRegion)
         return std::nullopt;
-    const bool isOpen
+    const bool isEligible
         = input.canForward && contains(input.allowed, holder) && contains(input.reachable, holder);
-    if (!isOpen)
+    if (!isEligible)
         return std::nullopt;
     const auto load = table.find(holder, input.loadKey, now);
     if (!load || load->outstanding + 1 > load->slots)
@@ -183,9 +183,9 @@
     double bestRemoteSeconds = std::numeric_limits<double>::infinity();
     bool bestHasFreeSlots = false;
     for (const std::string &region : input.allowed) {
-        const bool isOpen
+        const bool isEligible
             = input.canForward && region != input.localRegion && contains(input.reachable, region);
-        if (!isOpen)
+        if (!isEligible)
             continue;
         const auto load = table.find(region, input.loadKey, now);
         if (!load)
@@ -219,6 +219,7 @@
     forwarding = best.region && localWaitSeconds > bestRemoteSeconds + margin;
     // For the caller, a rejection is worse than the delay to a region with free slots.
     const bool avoidsRejection = best.region && bestHasFreeSlots && input.localRejects;
+    // If only the read delay makes the local wait long, a part of the requests stays local.
     const bool byReadDelay = forwarding && localSlotWaitSeconds <= bestRemoteSeconds + margin;
     if (byReadDelay
         && random.uniform() >= forwardedFraction(localWaitSeconds - bestRemoteSeconds - margin))
--- a/src/decide/server-table.cc
+++ b/src/decide/server-table.cc
@@ -143,8 +143,8 @@
     record.coldUntil = remaining.count() > 0 ? now + remaining : TimePoint{};
 }
 
-void ServerTable::onAnswerLoad(const std::string &server, std::uint32_t running,
-                               std::uint32_t waiting, TimePoint now)
+void ServerTable::onResponseLoad(const std::string &server, std::uint32_t running,
+                                 std::uint32_t waiting, TimePoint now)
 {
     LoadReport report;
     report.server = server;
@@ -249,7 +249,7 @@
     record.everReported = true;
     record.receivedDirectly = false;
     if (report.reachable) {
-        record.counters->lastAnsweredAt = at.time_since_epoch().count();
+        record.counters->lastRespondedAt = at.time_since_epoch().count();
         recordTraffic(report.running + report.waiting, record.counters->inFlight);
         record.counters->sentSinceReport = 0;
         record.counters->endedSinceReport = 0;
--- a/src/decide/silence.cc
+++ b/src/decide/silence.cc
@@ -6,14 +6,14 @@
 
 namespace {
 
-// Time for which all streams of a server must pause. Callers abandon a stream without data after
-// two seconds, and resuming it at another server takes most of one second.
+// A server is silent if none of its streams has sent data for this long. Callers abandon a stream
+// after two seconds without data, and resuming it at another server takes most of one second.
 constexpr Duration minSilence = std::chrono::milliseconds(600);
 // Streams of a slow server pause for longer than minSilence. A pause of this many of its usual
 // intervals between events shows that it isn't only slow.
 constexpr double maxUsualIntervals = 4;
-// Wait for a response that doesn't stream: half of the two seconds after which callers leave.
-constexpr Duration maxAnswerWait = std::chrono::milliseconds(1000);
+// The same for responses without a stream: half of the two seconds after which callers leave.
+constexpr Duration maxResponseWait = std::chrono::milliseconds(1000);
 constexpr Duration healthCheckInterval = std::chrono::milliseconds(300);
 
 Duration maxStreamPause(const ServerCounters &counters)
@@ -27,7 +27,7 @@
 Duration::rep lastActivity(const ServerCounters &counters)
 {
     return std::max({counters.lastReceivedAt.load(), counters.waitingSince.load(),
-                     counters.lastAnsweredAt.load()});
+                     counters.lastRespondedAt.load()});
 }
 
 } // namespace
@@ -87,7 +87,8 @@
     if (firstTokensOnly && receivedSinceRecovery)
         return false;
     const Duration since(lastActivity(counters));
-    const Duration allowed = counters.awaitedStreams > 0 ? maxStreamPause(counters) : maxAnswerWait;
+    const Duration allowed
+        = counters.awaitedStreams > 0 ? maxStreamPause(counters) : maxResponseWait;
     return now.time_since_epoch() - since >= allowed;
 }
 
@@ -100,9 +101,9 @@
     return true;
 }
 
-void recordHealthCheck(ServerCounters &counters, bool answered, TimePoint now)
+void recordHealthCheck(ServerCounters &counters, bool passed, TimePoint now)
 {
-    (answered ? counters.healthCheckPassedAt : counters.healthCheckFailedAt)
+    (passed ? counters.healthCheckPassedAt : counters.healthCheckFailedAt)
         = now.time_since_epoch().count();
 }
 
--- a/src/entry/dispatch.cc
+++ b/src/entry/dispatch.cc
@@ -290,8 +290,8 @@
     if (reader.isServerLeaving())
         m_state.servers.onSelfReportedLeaving(target.name);
     if (const auto load = m_responseLoad)
-        m_state.servers.onAnswerLoad(target.name, load->running, load->waiting,
-                                     m_state.clock.now());
+        m_state.servers.onResponseLoad(target.name, load->running, load->waiting,
+                                       m_state.clock.now());
 }
 
 void Dispatch::writeToCaller(const HttpResponse &response, std::string data)
--- a/test/server-table-test.cc
+++ b/test/server-table-test.cc
@@ -303,7 +303,7 @@
     for (int i = 0; i < messages; ++i) {
         now += 250ms;
         for (const auto &[name, entry] : listed)
-            table.onAnswerLoad(name, 1, 0, now);
+            table.onResponseLoad(name, 1, 0, now);
         for (const CompactLoad &load : table.collectNewReports(now, perMessage, true))
             ++shared[load.server];
     }
--- a/test/silence-test.cc
+++ b/test/silence-test.cc
@@ -48,7 +48,7 @@
 TEST_CASE_METHOD(SilenceFixture, "silence_serverRespondsToOtherInstances_isNotSilent")
 {
     beginStream();
-    counters.lastAnsweredAt = (now + 500ms).time_since_epoch().count();
+    counters.lastRespondedAt = (now + 500ms).time_since_epoch().count();
     CHECK_FALSE(isSilent(counters, now + 700ms));
     CHECK(isSilent(counters, now + 1100ms));
 }
