--- a/test/silence-test.cc
+++ b/test/silence-test.cc
@@ -128,8 +128,8 @@
     CHECK(isSilent(counters, now + 600ms));
 }
 
-// Guards against prompts sent to a failed server that passes a health check: first tokens that are
-// late because an engine is full must not be assumed at one that has just recovered.
+// Guards against prompts sent to a failed server that passes a health check: awaited first tokens
+// excuse its silence only once it has sent data since its recovery.
 TEST_CASE_METHOD(SilenceFixture, "silence_noDataSinceRecovery_isSilentDespiteFirstTokens")
 {
     beginStream();
