--- a/test/config-fleet-test.cc
+++ b/test/config-fleet-test.cc
@@ -1,4 +1,4 @@
-// Configuration, residency and regions on real processes.
+// Configuration changes, residency rules and routing between regions, tested on real processes.
 #include <csignal>
 #include <future>
 #include <set>
@@ -25,7 +25,7 @@
 {
     Fleet fleet{FleetShape{.regions = 2, .instances = 2, .models = 1}};
 
-    absl::StatusOr<ConfigDocument> change(const std::string &note)
+    absl::StatusOr<ConfigDocument> applyChange(const std::string &note)
     {
         ConfigAdmin admin(fleet.store());
         ConfigDocument draft = fleet.document();
@@ -34,27 +34,27 @@
         return admin.apply(draft, std::nullopt);
     }
 
-    void eventuallyInForce(std::uint64_t version)
+    void waitUntilInForce(std::uint64_t version)
     {
         for (const char *entry : {"a1", "a2", "b1", "b2"})
-            eventually(std::string(entry) + " has it in force",
+            eventually(std::string(entry) + " uses the new version",
                        [&] { return fleet.configVersion(entry) >= version; });
     }
 };
 
 } // namespace
 
-// What operators see: each change accepted once or turned down, none lost. In what order: three
-// operators change the rules at the same time, the store loses some answers. Why: the version is
-// written by compare-and-swap, and a lost answer is settled by reading back.
-TEST_CASE_METHOD(ConfigFleetFixture, "config_operatorsRace_eachVersionHasOneAuthor")
+// Guards against lost or duplicated changes when three operators apply changes at the same time and
+// the store drops some responses. Versions are written by compare-and-swap; after a lost response
+// the document is read back to find out whether the write took effect.
+TEST_CASE_METHOD(ConfigFleetFixture, "config_concurrentOperators_eachVersionHasOneAuthor")
 {
     std::vector<std::future<std::vector<ConfigDocument>>> operators;
-    for (int one = 0; one < 3; ++one)
-        operators.push_back(std::async(std::launch::async, [this, one] {
+    for (int index = 0; index < 3; ++index)
+        operators.push_back(std::async(std::launch::async, [this, index] {
             std::vector<ConfigDocument> accepted;
             for (int i = 0; i < 6; ++i) {
-                const auto result = change("operator " + std::to_string(one * 100 + i));
+                const auto result = applyChange("operator " + std::to_string(index * 100 + i));
                 if (result.ok())
                     accepted.push_back(*result);
             }
@@ -62,28 +62,29 @@
         }));
     fleet.setFault("store", "loseAnswers", 6);
     std::set<std::uint64_t> versions;
-    std::vector<ConfigDocument> all;
-    for (auto &one : operators) {
-        for (const ConfigDocument &document : one.get()) {
+    std::vector<ConfigDocument> allAccepted;
+    for (auto &result : operators) {
+        for (const ConfigDocument &document : result.get()) {
             CHECK(versions.insert(document.version).second);
-            all.push_back(document);
+            allAccepted.push_back(document);
         }
     }
-    REQUIRE_FALSE(all.empty());
+    REQUIRE_FALSE(allAccepted.empty());
     ConfigAdmin admin(fleet.store());
-    for (const ConfigDocument &document : all)
+    for (const ConfigDocument &document : allAccepted)
         CHECK(admin.version(document.version)->note == document.note);
-    eventuallyInForce(*versions.rbegin());
+    waitUntilInForce(*versions.rbegin());
 }
 
-// What operators see: the newest rules, also on an instance that starts while the store is down.
-// In what order: a change is in force, the store goes down, an instance is replaced. Why: it asks
-// its peers, and takes no requests before it has a version.
-TEST_CASE_METHOD(ConfigFleetFixture, "config_instanceStartsDuringAStoreOutage_hasTheNewest")
+// Guards against an instance that starts during a store outage and serves with an old configuration
+// or none. The instance gets the newest version from its peers and accepts no requests before it
+// has one.
+TEST_CASE_METHOD(ConfigFleetFixture,
+                 "config_instanceStartsDuringStoreOutage_getsNewestVersionFromPeers")
 {
-    const auto changed = change("before the outage");
+    const auto changed = applyChange("before the outage");
     REQUIRE(changed.ok());
-    eventuallyInForce(changed->version);
+    waitUntilInForce(changed->version);
     fleet.setFault("store", "down");
     fleet.stop("b2", SIGKILL);
     fleet.start("b2");
@@ -92,16 +93,17 @@
     CHECK(fleet.chat("b2", false).code == code(ResultCode::served));
 }
 
-// What the caller sees: "not run", and other instances to use. In what order: an instance starts
-// with neither store nor peers. Why: without rules it cannot know where data may go.
-TEST_CASE_METHOD(ConfigFleetFixture, "config_instanceWithoutAnyVersion_refuses")
+// An instance that can reach neither the store nor a peer has no configuration and cannot know
+// where data may be processed. It rejects requests as "not run", so that callers can use other
+// instances.
+TEST_CASE_METHOD(ConfigFleetFixture, "config_instanceWithoutAnyVersion_rejectsRequests")
 {
     fleet.setFault("store", "down");
     for (const char *entry : {"a1", "a2", "b1", "b2"})
         fleet.stop(entry, SIGKILL);
     fleet.start("a1");
     Reply reply;
-    eventually("it answers", [&] {
+    eventually("a1 responds", [&] {
         reply = fleet.chat("a1", false);
         return reply.status != 0;
     });
@@ -109,21 +111,22 @@
     CHECK(reply.runState == "not run");
 }
 
-// What operators see: a change is in force in the cut region as soon as the cut ends, and never an
-// older one. In what order: a region is frozen, rules change twice, it wakes.
-TEST_CASE_METHOD(ConfigFleetFixture, "config_regionAwayDuringChanges_catchesUp")
+// Guards against a region that keeps an old version after a partition. All instances of region b
+// are suspended while the configuration changes twice; after they resume, they use the newest
+// version.
+TEST_CASE_METHOD(ConfigFleetFixture, "config_regionSuspendedDuringChanges_catchesUp")
 {
     for (const char *entry : {"b1", "b2"})
         fleet.signal(entry, SIGSTOP);
-    REQUIRE(change("one").ok());
-    const auto last = change("two");
+    REQUIRE(applyChange("one").ok());
+    const auto last = applyChange("two");
     REQUIRE(last.ok());
     for (const char *entry : {"b1", "b2"})
         fleet.signal(entry, SIGCONT);
-    eventuallyInForce(last->version);
+    waitUntilInForce(last->version);
 }
 
-TEST_CASE_METHOD(ConfigFleetFixture, "config_brokenDraft_neverReachesTheStore")
+TEST_CASE_METHOD(ConfigFleetFixture, "config_invalidDraft_isNotStored")
 {
     ConfigAdmin admin(fleet.store());
     ConfigDocument draft = fleet.document();
@@ -136,39 +139,39 @@
           == absl::StatusCode::kUnavailable);
 }
 
-TEST_CASE_METHOD(ConfigFleetFixture, "config_rollBack_isANewVersion")
+TEST_CASE_METHOD(ConfigFleetFixture, "config_rollback_createsNewVersion")
 {
-    const auto changed = change("a mistake");
+    const auto changed = applyChange("a mistake");
     REQUIRE(changed.ok());
     ConfigAdmin admin(fleet.store());
-    const auto back = admin.rollBack(1, "operator");
-    REQUIRE(back.ok());
-    CHECK(back->version == 3);
-    CHECK(back->overlays == fleet.document().overlays);
-    eventuallyInForce(3);
+    const auto rolledBack = admin.rollBack(1, "operator");
+    REQUIRE(rolledBack.ok());
+    CHECK(rolledBack->version == 3);
+    CHECK(rolledBack->overlays == fleet.document().overlays);
+    waitUntilInForce(3);
 }
 
-// What the caller sees: its answer, from home, or a refusal; never an answer from elsewhere. In
-// what order: a customer bound to region a calls region b; then region a loses its engines. Why:
-// both the sender and the receiver check the rule.
-TEST_CASE_METHOD(ConfigFleetFixture, "residency_customerBoundToItsHome_isServedThereOrNotAtAll")
+// Guards against serving a customer outside the region that its residency rule allows. The customer
+// is bound to region a and calls region b, which forwards the request; once region a has lost its
+// engine, requests are rejected in both regions. Sender and receiver both check the rule.
+TEST_CASE_METHOD(ConfigFleetFixture, "residency_customerBoundToRegion_isServedOnlyThere")
 {
-    const Reply away = fleet.chat("b1", false, 4, "hello", "homed-token");
-    CHECK(away.code == code(ResultCode::served));
-    CHECK(away.servedBy.find("a-m1") != std::string::npos);
+    const Reply forwarded = fleet.chat("b1", false, 4, "hello", "homed-token");
+    CHECK(forwarded.code == code(ResultCode::served));
+    CHECK(forwarded.servedBy.find("a-m1") != std::string::npos);
     fleet.stop("a-m1", SIGKILL);
     for (const char *entry : {"a1", "b1"}) {
-        const Reply refused = fleet.chat(entry, false, 4, "hello", "homed-token");
-        CHECK(refused.code != code(ResultCode::served));
-        CHECK(refused.servedBy.find("b-m1") == std::string::npos);
+        const Reply rejected = fleet.chat(entry, false, 4, "hello", "homed-token");
+        CHECK(rejected.code != code(ResultCode::served));
+        CHECK(rejected.servedBy.find("b-m1") == std::string::npos);
     }
-    eventually("others are served elsewhere",
+    eventually("a customer without a residency rule is served by region b",
                [&] { return fleet.chat("a1", false).servedBy.find("b-m1") != std::string::npos; });
 }
 
-// What the caller sees: "not allowed here". In what order: a peer with other rules forwards a
-// request to a region that may not hold its data. Why: the receiver checks by its own rules.
-TEST_CASE_METHOD(ConfigFleetFixture, "residency_peerForwardsWrongly_isRefusedByTheReceiver")
+// Guards against a peer with a different configuration that forwards a request to a region where
+// its data may not be processed. The receiver checks residency by its own configuration.
+TEST_CASE_METHOD(ConfigFleetFixture, "residency_peerForwardsToForbiddenRegion_receiverRejects")
 {
     OutgoingRequest request = fleet.chatRequest("b1", false, 4, "hello", "homed-token");
     request.url = "http://" + fleet.peers("b1") + "/v1/chat/completions";
@@ -177,21 +180,22 @@
     CHECK(fleet.send(request).code == code(ResultCode::residencyForbids));
 }
 
-TEST_CASE_METHOD(ConfigFleetFixture, "loops_requestThatComesBack_isRefused")
+// The forward path names an instance of region a already: first a1 itself, then another instance.
+TEST_CASE_METHOD(ConfigFleetFixture, "forwardPath_requestReturnsToRegion_isRejected")
 {
     OutgoingRequest request = fleet.chatRequest("a1", false, 4, "hello", "free-token");
     request.url = "http://" + fleet.peers("a1") + "/v1/chat/completions";
-    OutgoingRequest away = request;
+    OutgoingRequest requestFromSameRegion = request;
     request.headers.add("X-Ibisnotch-Path", "a1@a,b1@b");
     CHECK(fleet.send(request).code == code(ResultCode::loopRefused));
-    away.headers.add("X-Ibisnotch-Path", "a2@a,b1@b");
-    CHECK(fleet.send(away).code == code(ResultCode::loopRefused));
+    requestFromSameRegion.headers.add("X-Ibisnotch-Path", "a2@a,b1@b");
+    CHECK(fleet.send(requestFromSameRegion).code == code(ResultCode::loopRefused));
 }
 
-// What the caller sees: "unknown", not "not run". In what order: the engine at home takes the
-// request and breaks off, the retry goes to another region, which refuses it. Why: a peer's refusal
-// speaks of its own part only.
-TEST_CASE_METHOD(ConfigFleetFixture, "refusal_ofAPeerAfterAnAttemptAtHome_neverSaysNotRun")
+// Guards against reporting "not run" for a request that may have run. The local engine accepts the
+// request and closes the connection, and the retry is rejected by another region. The rejection
+// covers only the attempt made there.
+TEST_CASE_METHOD(ConfigFleetFixture, "runState_peerRejectsAfterLocalAttempt_isUnknown")
 {
     fleet.setFault("a-m1", "drop");
     fleet.setFault("b-m1", "refuse");
@@ -200,10 +204,10 @@
     CHECK(reply.runState == "unknown");
 }
 
-// What the caller sees: answers, also under steady traffic. In what order: a region without engines
-// sends every request away, many more between two summaries than the other region has slots. Why:
-// what came back is no longer counted as under way.
-TEST_CASE_METHOD(ConfigFleetFixture, "regionWithoutEngines_steadyTraffic_isNotRefused")
+// Guards against requests that are still counted as in flight in the other region after their
+// responses have arrived. A region without engines forwards every request; between two load
+// summaries these are many more than the other region has slots.
+TEST_CASE_METHOD(ConfigFleetFixture, "regionWithoutEngines_steadyTraffic_isServed")
 {
     fleet.stop("b-m1", SIGKILL);
     eventually("requests are served by region a",
@@ -212,8 +216,8 @@
         CHECK(fleet.chat("b1", false, 1).code == code(ResultCode::served));
 }
 
-// What callers see: the loss of a region costs them at most one attempt. In what order: all engines
-// of a region die. Why: the region's summary goes to zero and its requests are sent on.
+// When all engines of a region fail, each request loses at most one attempt: the capacity in the
+// region's load summary drops to zero, and its requests are forwarded to another region.
 TEST_CASE_METHOD(ConfigFleetFixture, "regionWithoutEngines_sendsItsRequestsOn")
 {
     fleet.stop("b-m1", SIGKILL);
@@ -221,12 +225,13 @@
                [&] { return fleet.chat("b1", true).servedBy.find("a-m1") != std::string::npos; });
 }
 
-// What operators see: engines hold what the configuration wants, also after the holder of the lease
-// was frozen and another took over. In what order: a version is wanted, the first holder orders it,
-// sleeps past its lease, and another version is wanted. Why: the lease and its number change hands.
-TEST_CASE_METHOD(ConfigFleetFixture, "placement_holderFrozen_nextHolderGoesOnWithAHigherNumber")
+// Guards against placement that stops when the lease holder is suspended. The holder orders version
+// 2 and is suspended before version 3 is configured. When its lease has expired, another instance
+// acquires the lease with a higher fencing token and orders version 3.
+TEST_CASE_METHOD(ConfigFleetFixture,
+                 "placement_leaseHolderSuspended_nextHolderUsesHigherFencingToken")
 {
-    const auto want = [&](const std::string &version) {
+    const auto configureVersion = [&](const std::string &version) {
         ConfigAdmin admin(fleet.store());
         ConfigDocument draft = fleet.document();
         std::string &text = draft.overlays["a"].text;
@@ -236,25 +241,25 @@
         draft.base.text += "limits: {weightLoadsPerMinute: 600}\n";
         REQUIRE(admin.apply(draft, std::nullopt).ok());
     };
-    const auto held = [&] {
+    const auto modelPage = [&] {
         OutgoingRequest request;
         request.url = "http://" + fleet.address("a-m1") + "/v1/models";
         return nlohmann::json::parse(sendAndWait(fleet.client(), request).response.body);
     };
-    want("2");
-    eventually("version 2 is held", [&] { return held()["data"][0]["version"] == "2"; });
-    const auto fence = held()["fence"].get<std::uint64_t>();
+    configureVersion("2");
+    eventually("version 2 is loaded", [&] { return modelPage()["data"][0]["version"] == "2"; });
+    const auto fence = modelPage()["fence"].get<std::uint64_t>();
     fleet.signal("a1", SIGSTOP);
-    want("3");
-    eventually("version 3 is held", [&] { return held()["data"][0]["version"] == "3"; });
-    CHECK(held()["fence"].get<std::uint64_t>() > fence);
+    configureVersion("3");
+    eventually("version 3 is loaded", [&] { return modelPage()["data"][0]["version"] == "3"; });
+    CHECK(modelPage()["fence"].get<std::uint64_t>() > fence);
     fleet.signal("a1", SIGCONT);
 }
 
-// What operators see: the fleet goes on with the version that each instance can take. In what
-// order: a version reaches the store that no instance of this release can read (a newer tool wrote
-// it). Why: it is turned down, said so in the status, and not asked for again.
-TEST_CASE_METHOD(ConfigFleetFixture, "config_versionOfANewerRelease_isTurnedDownAndServingGoesOn")
+// Guards against an interruption when the store holds a version that this release cannot parse,
+// such as one written by a newer tool. Each instance rejects it, names the reason on its status
+// page, does not request it again and keeps serving with the version in force.
+TEST_CASE_METHOD(ConfigFleetFixture, "config_versionFromNewerRelease_isRejectedAndServingContinues")
 {
     ConfigAdmin admin(fleet.store());
     const StoredConfig inForce = *admin.current();
@@ -265,7 +270,7 @@
     fleet.store().compareAndSet("ibisnotch/config/current", inForce.index, serializeDocument(newer),
                                 [&](const StoreWrite &write) { written.set_value(write); });
     REQUIRE(written.get_future().get().status == StoreStatus::ok);
-    eventually("a watcher has seen it", [&] {
+    eventually("an instance reports the rejected version", [&] {
         return fleet.adminStatus("a1").find("keyOfALaterRelease") != std::string::npos
             || fleet.adminStatus("a2").find("keyOfALaterRelease") != std::string::npos;
     });
@@ -273,8 +278,8 @@
         CHECK(fleet.configVersion(entry) == 1);
         CHECK(fleet.chat(entry, false).code == code(ResultCode::served));
     }
-    const auto mended = change("understood by all");
-    REQUIRE(mended.ok());
-    CHECK(mended->version == 3);
-    eventuallyInForce(3);
+    const auto corrected = applyChange("valid for all instances");
+    REQUIRE(corrected.ok());
+    CHECK(corrected->version == 3);
+    waitUntilInForce(3);
 }
