--- a/include/ibisnotch/config.h
+++ b/include/ibisnotch/config.h
@@ -108,7 +108,8 @@
     ServiceKind kind = ServiceKind::application;
     std::string healthPath;
     int maxConnections = 0; // to one server, from all instances together
-    // Requests per second that a cold server sustains; 0: servers are never cold.
+    // Requests per second that a cold server sustains from all instances together; 0: servers are
+    // never cold.
     double warmupRate = 0;
     // Capacity of one model engine's KV cache, which holds running requests and cached prompts.
     std::int64_t cacheTokens = 0;
