--- a/src/ibisnotch-entry.cc
+++ b/src/ibisnotch-entry.cc
@@ -1,5 +1,5 @@
-// One entry instance: serves callers, peers and operators until SIGTERM, then finishes what is in
-// flight and exits.
+// One entry instance. Serves callers, peers and operators until SIGINT or SIGTERM, then completes
+// the requests in flight and exits.
 #include <csignal>
 #include <cstdio>
 #include <memory>
@@ -15,8 +15,8 @@
 
 namespace {
 
-constexpr int exitSettings = 2;
-constexpr int exitAddress = 3;
+constexpr int exitInvalidSettings = 2;
+constexpr int exitStartFailed = 3;
 
 std::unique_ptr<InterfaceFactory> makeInterfaces(const ProcessSettings &settings)
 {
@@ -25,7 +25,8 @@
     return makeBuiltInInterfaces(settings);
 }
 
-std::string settingsPath(int argc, const char **argv)
+// Returns the path given by --settings; empty if it is missing or an option is invalid.
+std::string parseSettingsPath(int argc, const char **argv)
 {
     char *path = nullptr;
     const poptOption options[]
@@ -47,24 +48,24 @@
     return text.ok() ? parseProcessSettings(*text, path) : text.status();
 }
 
-void reload(Instance &instance, const std::string &path)
+void reloadSettings(Instance &instance, const std::string &path)
 {
     const auto settings = readSettings(path);
     if (settings.ok())
         return instance.reload(*settings);
-    logLine(LogPart::entry, LogLevel::error, "Reload failed; the settings in force stay.",
+    logLine(LogPart::entry, LogLevel::error, "Reload failed; keeping the current settings.",
             {{"reason", std::string(settings.status().message())}});
 }
 
-// Returns on a signal to stop.
-void waitForStop(const sigset_t &signals, Instance &instance, const std::string &path)
+// Reloads the settings on each SIGHUP; returns on SIGINT or SIGTERM.
+void waitForStopSignal(const sigset_t &signals, Instance &instance, const std::string &path)
 {
     for (;;) {
         int signal = 0;
         sigwait(&signals, &signal);
         if (signal != SIGHUP)
             return;
-        reload(instance, path);
+        reloadSettings(instance, path);
     }
 }
 
@@ -72,13 +73,14 @@
 
 int main(int argc, const char **argv)
 {
-    const std::string path = settingsPath(argc, argv);
+    const std::string path = parseSettingsPath(argc, argv);
     const auto settings = readSettings(path);
     if (!settings.ok()) {
         fmt::print(stderr, "{}\n", std::string(settings.status().message()));
-        return exitSettings;
+        return exitInvalidSettings;
     }
-    // Blocked before any thread starts, so that only the wait below takes them.
+    // New threads inherit the signal mask, so the signals are blocked before any thread starts and
+    // only sigwait() receives them.
     sigset_t signals;
     sigemptyset(&signals);
     for (const int signal : {SIGINT, SIGTERM, SIGHUP})
@@ -90,13 +92,13 @@
         Instance instance(*settings, makeInterfaces(*settings));
         logLine(LogPart::entry, LogLevel::info, "Started.",
                 {{"region", settings->region}, {"callers", settings->callerAddress.text()}});
-        waitForStop(signals, instance, path);
-        const bool whole = instance.drain();
-        logLine(LogPart::entry, whole ? LogLevel::info : LogLevel::error,
-                whole ? "Stopped." : "Stopped with requests in flight.");
-        return whole ? 0 : 1;
+        waitForStopSignal(signals, instance, path);
+        const bool isDrained = instance.drain();
+        logLine(LogPart::entry, isDrained ? LogLevel::info : LogLevel::error,
+                isDrained ? "Stopped." : "Stopped with requests in flight.");
+        return isDrained ? 0 : 1;
     } catch (const std::exception &error) {
         fmt::print(stderr, "{}: {}\n", settings->name, error.what());
-        return exitAddress;
+        return exitStartFailed;
     }
 }
