--- a/src/standin-engine.cc
+++ b/src/standin-engine.cc
@@ -1,16 +1,22 @@
-// A small stand-in for a model engine or an application engine.
+// Simulates a model engine or an application engine for tests.
 //
-// Model engines answer POST /v1/chat/completions in the OpenAI form, with a number of slots, a
-// prompt prefix cache and a fixed time per token. Application engines answer any other path; a POST
-// counts as a booking by its Idempotency-Key. Both publish /metrics in the Prometheus text form and
-// take placement orders at POST /v1/placement.
+// As a model engine it serves POST /v1/chat/completions in the OpenAI format, with a number of
+// slots, a prompt prefix cache and a fixed time per token. As an application engine it serves any
+// other path; a POST counts as a booking under its Idempotency-Key. Both publish /metrics in the
+// Prometheus text format and accept placement orders at POST /v1/placement.
 //
-// PUT /standin/fault?mode=MODE[&count=N] makes it fail:
-//   none, hang (no answer), silent (an answer that stops half way and stays open), truncate (an
-//   answer that ends early but cleanly), cross (answers carry another request's id), drop (runs the
-//   request, then closes without an answer), refuse (503, says that it did not run), error (500),
-//   leaving (says so; serves what it has).
-// A body that holds the word of --poison ends the process at once.
+// PUT /standin/fault?mode=MODE[&count=N] injects a fault, for N calls if a count is given:
+//   none
+//   hang      sends no response and keeps the connection open
+//   silent    stops in the middle of the response and keeps the connection open
+//   truncate  ends the response early, but without a transport error
+//   cross     sends the request id of another request
+//   drop      runs the request and closes the connection; a stream is cut in the middle
+//   refuse    responds with 503 and X-Not-Run, without running the request
+//   error     responds with 500
+//   leaving   reports that the engine is draining, and still serves requests
+//
+// A request body that contains EngineSettings::poison ends the process at once, as a crash would.
 #include <atomic>
 #include <csignal>
 #include <deque>
@@ -35,23 +41,23 @@
 
 namespace {
 
-constexpr std::size_t prefixBytes = 512;
-constexpr int cachedPromptPart = 8;
+constexpr std::size_t cachedPrefixBytes = 512;
+constexpr int cachedPromptSpeedup = 8; // how many times faster a cached prompt is
 
 enum class Fault { none, hang, silent, truncate, cross, drop, refuse, error, leaving };
 
 struct EngineSettings
 {
     int port = 0;
-    int slots = 8;
+    int slots = 8; // requests that run at the same time
     int tokenMs = 5;
-    int promptMs = 40;
-    int runMs = 10;
+    int promptMs = 40; // for a prompt that is not cached
+    int runMs = 10; // for a call of an application engine
     int cacheEntries = 64;
-    int checkFencing = 0;
+    int checkFencing = 0; // 1 to reject placement orders with an outdated fencing token
     std::string name = "engine";
     std::string model = "";
-    std::string poison = "crash-this-engine";
+    std::string poison = "crash-this-engine"; // text in a request body that ends the process
 };
 
 struct Job
@@ -61,15 +67,16 @@
     std::string requestId;
     Fault fault = Fault::none;
     bool streaming = false;
-    int tokens = 16;
-    int sent = 0;
+    int tokens = 16; // tokens to generate
+    int sentTokens = 0;
 };
 
 using JobPtr = std::shared_ptr<Job>;
 
-HttpResponse answer(const Job &job, int status, std::string type, std::string body)
+HttpResponse makeResponse(const Job &job, int status, std::string contentType, std::string body)
 {
-    return {status, {{"Content-Type", std::move(type)}, {"X-Request-Id", job.requestId}}, body};
+    return {
+        status, {{"Content-Type", std::move(contentType)}, {"X-Request-Id", job.requestId}}, body};
 }
 
 std::string tokenText(int index)
@@ -77,10 +84,10 @@
     return fmt::format("word{} ", index);
 }
 
-std::string chunk(const std::string &id, const std::string &text, bool last)
+std::string streamEvent(const std::string &id, const std::string &text, bool isLast)
 {
     json choice{{"index", 0}, {"delta", {{"content", text}}}, {"finish_reason", nullptr}};
-    if (last) {
+    if (isLast) {
         choice["delta"] = json::object();
         choice["finish_reason"] = "stop";
     }
@@ -90,21 +97,21 @@
         + "\n\n";
 }
 
-class Engine final : public RequestHandler
+class FakeEngine final : public RequestHandler
 {
 public:
-    explicit Engine(EngineSettings settings) : m_settings(std::move(settings)) { }
+    explicit FakeEngine(EngineSettings settings) : m_settings(std::move(settings)) { }
 
     void handle(HttpRequest request, std::shared_ptr<Responder> responder) override
     {
         if (request.path.rfind("/standin/", 0) == 0)
-            return control(request, *responder);
+            return handleControl(request, *responder);
         if (request.path == "/metrics" || request.path == "/health")
-            return report(request, *responder);
+            return reportStatus(request, *responder);
         if (request.path == "/v1/placement")
-            return place(request, *responder);
+            return handlePlacement(request, *responder);
         if (request.path == "/v1/models")
-            return responder->reply({200, {}, models()});
+            return responder->reply({200, {}, modelsPage()});
         auto job = std::make_shared<Job>();
         job->requestId = request.headers.get("X-Request-Id").value_or("");
         job->request = std::move(request);
@@ -116,19 +123,19 @@
     void submit(const JobPtr &job)
     {
         if (job->request.body.text().find(m_settings.poison) != std::string::npos)
-            _exit(134);
-        job->fault = m_faults.take();
+            _exit(134); // the exit code that a shell reports after abort()
+        job->fault = m_faults.nextFault();
         if (job->fault == Fault::cross)
             job->requestId = "some-other-request";
         if (job->fault == Fault::hang)
             return m_held.push_back(job);
         if (job->fault == Fault::refuse) {
-            HttpResponse response = answer(*job, 503, "application/json", "{}");
+            HttpResponse response = makeResponse(*job, 503, "application/json", "{}");
             response.headers.add("X-Not-Run", "true");
             return job->responder->reply(response);
         }
         if (job->fault == Fault::error)
-            return job->responder->reply(answer(*job, 500, "application/json", "{}"));
+            return job->responder->reply(makeResponse(*job, 500, "application/json", "{}"));
         m_queue.push_back(job);
         startNext();
     }
@@ -139,21 +146,21 @@
             const JobPtr job = m_queue.front();
             m_queue.pop_front();
             ++m_running;
-            run(job);
+            runJob(job);
         }
         m_waiting = static_cast<int>(m_queue.size());
     }
 
-    void over()
+    void onJobFinished()
     {
         --m_running;
         startNext();
     }
 
-    void run(const JobPtr &job)
+    void runJob(const JobPtr &job)
     {
         if (job->request.path == "/v1/chat/completions")
-            return complete(job);
+            return completeChat(job);
         if (job->request.method == "POST") {
             const std::lock_guard lock(m_mutex);
             ++m_runs[job->request.headers.get("Idempotency-Key").value_or("")];
@@ -162,12 +169,12 @@
             if (job->fault == Fault::drop)
                 job->responder->abort();
             else
-                finishCall(*job);
-            over();
+                finishApplicationCall(*job);
+            onJobFinished();
         });
     }
 
-    void finishCall(Job &job)
+    void finishApplicationCall(Job &job)
     {
         if (job.fault == Fault::silent) {
             job.responder->start(200, {{"X-Request-Id", job.requestId}});
@@ -181,15 +188,16 @@
         std::string text = body.dump();
         if (job.fault == Fault::truncate)
             text.resize(text.size() / 2);
-        job.responder->reply(answer(job, 200, "application/json", text));
+        job.responder->reply(makeResponse(job, 200, "application/json", text));
     }
 
-    int promptTime(const std::string &body)
+    // Returns the time that the prompt takes and adds its prefix to the cache.
+    int promptTimeMs(const std::string &body)
     {
-        const std::uint64_t prefix = hash64(body.substr(0, prefixBytes));
+        const std::uint64_t prefix = hash64(body.substr(0, cachedPrefixBytes));
         const auto found = m_cacheIndex.find(prefix);
-        const bool hit = found != m_cacheIndex.end();
-        if (hit)
+        const bool isCached = found != m_cacheIndex.end();
+        if (isCached)
             m_cache.erase(found->second);
         m_cache.push_front(prefix);
         m_cacheIndex[prefix] = m_cache.begin();
@@ -197,24 +205,24 @@
             m_cacheIndex.erase(m_cache.back());
             m_cache.pop_back();
         }
-        return hit ? m_settings.promptMs / cachedPromptPart : m_settings.promptMs;
+        return isCached ? m_settings.promptMs / cachedPromptSpeedup : m_settings.promptMs;
     }
 
-    void complete(const JobPtr &job)
+    void completeChat(const JobPtr &job)
     {
         const auto body = json::parse(job->request.body.text(), nullptr, false);
         job->streaming = body.is_object() && body.value("stream", false);
         job->tokens = body.is_object() ? body.value("max_tokens", 16) : 16;
         m_loop.postAfter(
-            std::chrono::milliseconds(promptTime(job->request.body.text())), [this, job] {
+            std::chrono::milliseconds(promptTimeMs(job->request.body.text())), [this, job] {
                 if (job->streaming)
-                    return stream(job);
+                    return startStream(job);
                 m_loop.postAfter(std::chrono::milliseconds(job->tokens * m_settings.tokenMs),
-                                 [this, job] { finishWhole(job); });
+                                 [this, job] { finishCompletion(job); });
             });
     }
 
-    void finishWhole(const JobPtr &job)
+    void finishCompletion(const JobPtr &job)
     {
         std::string text;
         for (int i = 0; i < job->tokens; ++i)
@@ -226,17 +234,17 @@
                          json::array({{{"index", 0},
                                        {"message", {{"role", "assistant"}, {"content", text}}},
                                        {"finish_reason", "stop"}}})}};
-        std::string whole = body.dump();
+        std::string responseBody = body.dump();
         if (job->fault == Fault::truncate)
-            whole.resize(whole.size() / 2);
+            responseBody.resize(responseBody.size() / 2);
         if (job->fault == Fault::drop)
             job->responder->abort();
         else
-            job->responder->reply(answer(*job, 200, "application/json", whole));
-        over();
+            job->responder->reply(makeResponse(*job, 200, "application/json", responseBody));
+        onJobFinished();
     }
 
-    void stream(const JobPtr &job)
+    void startStream(const JobPtr &job)
     {
         job->responder->start(
             200, {{"Content-Type", "text/event-stream"}, {"X-Request-Id", job->requestId}});
@@ -246,32 +254,32 @@
     void nextToken(const JobPtr &job)
     {
         const std::string id = "chatcmpl-" + job->requestId;
-        const bool half = job->sent * 2 >= job->tokens;
+        const bool isHalfSent = job->sentTokens * 2 >= job->tokens;
         if (job->responder->isClosed())
-            return over();
-        if (half && job->fault == Fault::drop) {
+            return onJobFinished();
+        if (isHalfSent && job->fault == Fault::drop) {
             job->responder->abort();
-            return over();
+            return onJobFinished();
         }
-        if (half && job->fault == Fault::silent) {
+        if (isHalfSent && job->fault == Fault::silent) {
             m_held.push_back(job);
-            return over();
+            return onJobFinished();
         }
-        if (half && job->fault == Fault::truncate) {
+        if (isHalfSent && job->fault == Fault::truncate) {
             job->responder->finish();
-            return over();
+            return onJobFinished();
         }
-        if (job->sent >= job->tokens) {
-            job->responder->write(chunk(id, "", true) + "data: [DONE]\n\n");
+        if (job->sentTokens >= job->tokens) {
+            job->responder->write(streamEvent(id, "", true) + "data: [DONE]\n\n");
             job->responder->finish();
-            return over();
+            return onJobFinished();
         }
-        job->responder->write(chunk(id, tokenText(job->sent++), false));
+        job->responder->write(streamEvent(id, tokenText(job->sentTokens++), false));
         m_loop.postAfter(std::chrono::milliseconds(m_settings.tokenMs),
                          [this, job] { nextToken(job); });
     }
 
-    void control(const HttpRequest &request, Responder &responder)
+    void handleControl(const HttpRequest &request, Responder &responder)
     {
         const std::lock_guard lock(m_mutex);
         if (request.path == "/standin/runs")
@@ -283,7 +291,7 @@
         responder.reply({200, {}, "{}"});
     }
 
-    void report(const HttpRequest &request, Responder &responder)
+    void reportStatus(const HttpRequest &request, Responder &responder)
     {
         if (request.path == "/health")
             return responder.reply({m_leaving ? 503 : 200, {}, ""});
@@ -294,10 +302,10 @@
                                      "engine_draining {}\n"
                                      "process_start_time_seconds {:.3f}\n",
                                      m_running.load(), m_waiting.load(), m_leaving ? 1 : 0,
-                                     static_cast<double>(m_started) / 1000)});
+                                     static_cast<double>(m_startedMs) / 1000)});
     }
 
-    std::string models()
+    std::string modelsPage()
     {
         const std::lock_guard lock(m_mutex);
         return json{
@@ -311,7 +319,7 @@
             .dump();
     }
 
-    void place(const HttpRequest &request, Responder &responder)
+    void handlePlacement(const HttpRequest &request, Responder &responder)
     {
         const auto order = json::parse(request.body.text(), nullptr, false);
         if (!order.is_object())
@@ -345,21 +353,21 @@
                                  {"error", Fault::error},
                                  {"leaving", Fault::leaving}}};
     std::atomic<bool> m_leaving = false;
-    std::map<std::string, int> m_runs;
-    std::uint64_t m_fence = 0;
+    std::map<std::string, int> m_runs; // POST requests run, by idempotency key
+    std::uint64_t m_fence = 0; // highest fencing token of a placement order
     std::string m_version = "1";
     std::string m_adapter;
     std::string m_role = "serve";
-    int m_loads = 0;
-    // Below: on the loop only, but for the atomics.
+    int m_loads = 0; // loads of a model, version or adapter by placement orders
+    // The members below are accessed only on the event loop, except for the atomics.
     std::deque<JobPtr> m_queue;
-    std::vector<JobPtr> m_held;
+    std::vector<JobPtr> m_held; // jobs whose connections stay open without a complete response
     std::atomic<int> m_running = 0;
     std::atomic<int> m_waiting = 0;
-    std::list<std::uint64_t> m_cache;
+    std::list<std::uint64_t> m_cache; // hashes of prompt prefixes, the most recent first
     std::unordered_map<std::uint64_t, std::list<std::uint64_t>::iterator> m_cacheIndex;
-    long long m_started = wallMilliseconds(SystemClock().wallNow());
-    HttpClient m_loop;
+    long long m_startedMs = wallMilliseconds(SystemClock().wallNow());
+    HttpClient m_loop; // sends no requests; only its event loop is used
 };
 
 } // namespace
@@ -377,26 +385,26 @@
            {"token-ms", 0, POPT_ARG_INT, &settings.tokenMs, 0, "time per token", "MS"},
            {"prompt-ms", 0, POPT_ARG_INT, &settings.promptMs, 0, "time per new prompt", "MS"},
            {"run-ms", 0, POPT_ARG_INT, &settings.runMs, 0, "time per application call", "MS"},
-           {"check-fencing", 0, POPT_ARG_NONE, &settings.checkFencing, 0, "refuse old orders",
-            nullptr},
+           {"check-fencing", 0, POPT_ARG_NONE, &settings.checkFencing, 0,
+            "reject placement orders with an old token", nullptr},
            POPT_AUTOHELP POPT_TABLEEND};
     const poptContext context = poptGetContext(nullptr, argc, argv, options, 0);
     while (poptGetNextOpt(context) > 0) { }
     poptFreeContext(context);
     settings.name = name == nullptr ? settings.name : name;
     settings.model = model == nullptr ? settings.model : model;
-    sigset_t stops;
-    sigemptyset(&stops);
-    sigaddset(&stops, SIGINT);
-    sigaddset(&stops, SIGTERM);
-    pthread_sigmask(SIG_BLOCK, &stops, nullptr);
-    auto engine = std::make_unique<Engine>(settings);
+    sigset_t stopSignals;
+    sigemptyset(&stopSignals);
+    sigaddset(&stopSignals, SIGINT);
+    sigaddset(&stopSignals, SIGTERM);
+    pthread_sigmask(SIG_BLOCK, &stopSignals, nullptr);
+    auto engine = std::make_unique<FakeEngine>(settings);
     HttpServerSettings http;
     http.port = static_cast<std::uint16_t>(settings.port);
     HttpLoop loop(2);
     HttpServer server(http, *engine, loop);
     int signal = 0;
-    sigwait(&stops, &signal);
+    sigwait(&stopSignals, &signal);
     loop.stop();
     engine.reset();
     return 0;
--- a/src/standin-fault.h
+++ b/src/standin-fault.h
@@ -1,4 +1,4 @@
-// How a stand-in is told to fail, the same for all of them.
+// Fault injection for the simulated servers standin-store and standin-engine.
 #pragma once
 
 #include <map>
@@ -12,14 +12,15 @@
 
 namespace ibisnotch {
 
-// The failure in force, from the queries "mode=MODE" and, to end it after some calls, "count=N".
-// Fault is an enumeration with a value `none`. Thread safe.
+// Determines the fault that applies to each call. A control request sets it by the query parameter
+// "mode=MODE"; with "count=N" the fault ends after N calls. Fault is an enumeration with a value
+// `none`. Thread safe.
 template <typename Fault> class FaultSwitch
 {
 public:
     explicit FaultSwitch(std::map<std::string, Fault> modes) : m_modes(std::move(modes)) { }
 
-    // Empty if the mode is not known.
+    // Sets the fault that the request names and returns it; empty if the mode is unknown.
     std::optional<Fault> set(const HttpRequest &request)
     {
         const auto mode = m_modes.find(queryValue(request.query, "mode").value_or("none"));
@@ -27,17 +28,17 @@
             return std::nullopt;
         const std::lock_guard lock(m_mutex);
         m_fault = mode->second;
-        m_count = 0;
-        (void)absl::SimpleAtoi(queryValue(request.query, "count").value_or("0"), &m_count);
+        m_callsLeft = 0;
+        (void)absl::SimpleAtoi(queryValue(request.query, "count").value_or("0"), &m_callsLeft);
         return m_fault;
     }
 
-    // The failure for one call.
-    Fault take()
+    // Returns the fault for one call and counts the call.
+    Fault nextFault()
     {
         const std::lock_guard lock(m_mutex);
         const Fault fault = m_fault;
-        if (m_count > 0 && --m_count == 0)
+        if (m_callsLeft > 0 && --m_callsLeft == 0)
             m_fault = Fault::none;
         return fault;
     }
@@ -46,7 +47,7 @@
     std::map<std::string, Fault> m_modes;
     std::mutex m_mutex;
     Fault m_fault = Fault::none;
-    int m_count = 0;
+    int m_callsLeft = 0; // calls until the fault ends; 0 if it has no limit
 };
 
 } // namespace ibisnotch
--- a/src/standin-store.cc
+++ b/src/standin-store.cc
@@ -1,9 +1,14 @@
-// A small stand-in for the platform's key-value service. It speaks the part of Consul's HTTP
-// interface that the system uses, and fails on command:
+// Simulates the platform's key-value store for tests. It implements the part of Consul's HTTP
+// interface that the system uses. A control request injects a fault:
 //   PUT /standin/fault?mode=MODE[&count=N]
-// with MODE one of none, down (no answer to anything), refuse (429), loseAnswers (writes take
-// effect, their answers are lost), late (writes take effect after 1.5 s, answers are lost),
-// slow (every answer after 300 ms). With a count the fault ends after so many calls.
+// MODE is one of:
+//   none
+//   down         requests get no response; their connections stay open until the mode is set again
+//   refuse       requests are rejected with 429
+//   loseAnswers  writes take effect, but their connections are closed without a response
+//   late         as loseAnswers, but the writes take effect 1.5 s later
+//   slow         each response is delayed by 300 ms
+// With a count, the fault ends after that number of calls.
 #include <atomic>
 #include <csignal>
 #include <map>
@@ -26,67 +31,68 @@
 
 namespace {
 
-constexpr std::size_t largestValue = 1U << 20;
+constexpr std::size_t maxValueBytes = 1U << 20;
 
 enum class Fault { none, down, refuse, loseAnswers, late, slow };
 
 struct Value
 {
     std::string bytes;
-    std::uint64_t index = 0;
-    std::string session;
+    std::uint64_t index = 0; // Consul's ModifyIndex
+    std::string session; // session that holds the key as a lock; empty if none
 };
 
 struct Session
 {
-    Duration life{};
-    TimePoint expires;
+    Duration ttl{};
+    TimePoint expiresAt;
 };
 
+// A blocking read of a key.
 struct Watch
 {
     std::string key;
-    std::uint64_t after = 0;
+    std::uint64_t afterIndex = 0; // the read waits for a modification index above this one
     std::shared_ptr<Responder> responder;
 };
 
-HttpResponse plain(int status, std::string body)
+HttpResponse jsonResponse(int status, std::string body)
 {
     return {status, {{"Content-Type", "application/json"}}, std::move(body)};
 }
 
-class StoreStandin final : public RequestHandler
+class FakeStore final : public RequestHandler
 {
 public:
     void handle(HttpRequest request, std::shared_ptr<Responder> responder) override
     {
         if (request.path.rfind("/standin/", 0) == 0)
-            return control(request, *responder);
-        const Fault fault = m_faults.take();
+            return handleControl(request, *responder);
+        const Fault fault = m_faults.nextFault();
         ++m_calls;
-        const bool write = request.method != "GET";
+        const bool isWrite = request.method != "GET";
         switch (fault) {
         case Fault::down:
-            hold(responder);
+            holdOpen(responder);
             return;
         case Fault::refuse:
-            responder->reply(plain(429, "rate limit"));
+            responder->reply(jsonResponse(429, "rate limit"));
             return;
         case Fault::loseAnswers:
-            if (!write)
+            if (!isWrite)
                 return serve(request, responder);
-            serve(request, std::make_shared<LostResponder>());
-            return drop(responder);
+            serve(request, std::make_shared<DiscardingResponder>());
+            return closeWithoutResponse(responder);
         case Fault::late:
-            if (!write)
+            if (!isWrite)
                 return serve(request, responder);
-            m_silent.postAfter(std::chrono::milliseconds(1500), [this, request] {
-                serve(request, std::make_shared<LostResponder>());
+            m_timerClient.postAfter(std::chrono::milliseconds(1500), [this, request] {
+                serve(request, std::make_shared<DiscardingResponder>());
             });
-            return drop(responder);
+            return closeWithoutResponse(responder);
         case Fault::slow:
-            m_silent.postAfter(std::chrono::milliseconds(300),
-                               [this, request, responder] { serve(request, responder); });
+            m_timerClient.postAfter(std::chrono::milliseconds(300),
+                                    [this, request, responder] { serve(request, responder); });
             return;
         case Fault::none:
             serve(request, responder);
@@ -94,7 +100,8 @@
     }
 
 private:
-    class LostResponder final : public Responder
+    // Takes the place of a caller's responder for a write whose response the fault suppresses.
+    class DiscardingResponder final : public Responder
     {
     public:
         void reply(HttpResponse) override { }
@@ -107,49 +114,51 @@
         std::size_t pendingBytes() const override { return 0; }
     };
 
-    // The connection ends without an answer.
-    static void drop(const std::shared_ptr<Responder> &responder) { responder->abort(); }
+    static void closeWithoutResponse(const std::shared_ptr<Responder> &responder)
+    {
+        responder->abort();
+    }
 
-    void hold(std::shared_ptr<Responder> responder)
+    void holdOpen(std::shared_ptr<Responder> responder)
     {
         const std::lock_guard lock(m_mutex);
         m_held.push_back(std::move(responder));
     }
 
-    void control(const HttpRequest &request, Responder &responder)
+    void handleControl(const HttpRequest &request, Responder &responder)
     {
         if (request.path == "/standin/calls")
-            return responder.reply(plain(200, std::to_string(m_calls.load())));
+            return responder.reply(jsonResponse(200, std::to_string(m_calls.load())));
         const auto fault = m_faults.set(request);
         if (!fault)
-            return responder.reply(plain(400, "unknown mode"));
+            return responder.reply(jsonResponse(400, "unknown mode"));
         const std::lock_guard lock(m_mutex);
-        // Callers that were left without an answer see their connections close.
+        // Requests held by the mode "down" end with a closed connection.
         for (const auto &held : m_held)
             held->abort();
         m_held.clear();
-        responder.reply(plain(200, "{}"));
+        responder.reply(jsonResponse(200, "{}"));
     }
 
     void serve(const HttpRequest &request, const std::shared_ptr<Responder> &responder)
     {
         const std::lock_guard lock(m_mutex);
         expireSessions();
-        const std::string kv = "/v1/kv/";
+        const std::string keyPrefix = "/v1/kv/";
         if (request.path == "/v1/txn")
             return transaction(request, *responder);
         if (request.path == "/v1/session/create")
             return createSession(request, *responder);
         if (request.path.rfind("/v1/session/renew/", 0) == 0)
             return renewSession(request.path.substr(18), *responder);
-        if (request.path.rfind(kv, 0) != 0)
-            return responder->reply(plain(404, ""));
-        const std::string key = request.path.substr(kv.size());
+        if (request.path.rfind(keyPrefix, 0) != 0)
+            return responder->reply(jsonResponse(404, ""));
+        const std::string key = request.path.substr(keyPrefix.size());
         if (request.method == "GET")
             return get(key, request, responder);
         if (request.method == "DELETE") {
             m_values.erase(key);
-            return responder->reply(plain(200, "true"));
+            return responder->reply(jsonResponse(200, "true"));
         }
         put(key, request, *responder);
     }
@@ -157,50 +166,50 @@
     void get(const std::string &key, const HttpRequest &request,
              const std::shared_ptr<Responder> &responder)
     {
-        std::uint64_t after = 0;
-        (void)absl::SimpleAtoi(queryValue(request.query, "index").value_or("0"), &after);
+        std::uint64_t afterIndex = 0;
+        (void)absl::SimpleAtoi(queryValue(request.query, "index").value_or("0"), &afterIndex);
         const auto found = m_values.find(key);
         const std::uint64_t index = found == m_values.end() ? 0 : found->second.index;
-        if (after > 0 && index <= after)
-            return wait(key, after, request, responder);
-        responder->reply(answerFor(key));
+        if (afterIndex > 0 && index <= afterIndex)
+            return addWatch(key, afterIndex, request, responder);
+        responder->reply(responseFor(key));
     }
 
-    HttpResponse answerFor(const std::string &key) const
+    HttpResponse responseFor(const std::string &key) const
     {
         const auto found = m_values.find(key);
         if (found == m_values.end())
-            return plain(404, "");
+            return jsonResponse(404, "");
         const json body = json::array({{{"Key", key},
                                         {"ModifyIndex", found->second.index},
                                         {"Value", absl::Base64Escape(found->second.bytes)}}});
-        HttpResponse response = plain(200, body.dump());
+        HttpResponse response = jsonResponse(200, body.dump());
         response.headers.add("X-Consul-Index", std::to_string(found->second.index));
         return response;
     }
 
-    void wait(const std::string &key, std::uint64_t after, const HttpRequest &request,
-              const std::shared_ptr<Responder> &responder)
+    void addWatch(const std::string &key, std::uint64_t afterIndex, const HttpRequest &request,
+                  const std::shared_ptr<Responder> &responder)
     {
         int seconds = 0;
         std::string text = queryValue(request.query, "wait").value_or("30s");
         text.pop_back();
         (void)absl::SimpleAtoi(text, &seconds);
-        auto watch = std::make_shared<Watch>(Watch{key, after, responder});
+        auto watch = std::make_shared<Watch>(Watch{key, afterIndex, responder});
         m_watches.push_back(watch);
-        m_silent.postAfter(std::chrono::seconds(seconds), [this, watch] {
+        m_timerClient.postAfter(std::chrono::seconds(seconds), [this, watch] {
             const std::lock_guard lock(m_mutex);
             if (std::erase(m_watches, watch) > 0)
-                watch->responder->reply(answerFor(watch->key));
+                watch->responder->reply(responseFor(watch->key));
         });
     }
 
-    void changed(const std::string &key)
+    void notifyWatches(const std::string &key)
     {
         std::erase_if(m_watches, [&](const std::shared_ptr<Watch> &watch) {
             if (watch->key != key)
                 return false;
-            watch->responder->reply(answerFor(key));
+            watch->responder->reply(responseFor(key));
             return true;
         });
     }
@@ -209,23 +218,24 @@
     {
         const auto body = json::parse(request.body.text(), nullptr, false);
         if (!body.is_array() || body.size() != 1 || !body[0].contains("KV"))
-            return responder.reply(plain(400, "one KV operation expected"));
+            return responder.reply(jsonResponse(400, "one KV operation expected"));
         const auto &operation = body[0]["KV"];
         const std::string key = operation.value("Key", "");
         const auto expected = operation.value("Index", std::uint64_t(0));
         std::string bytes;
         absl::Base64Unescape(operation.value("Value", ""), &bytes);
-        if (bytes.size() > largestValue)
-            return responder.reply(plain(413, "value too large"));
+        if (bytes.size() > maxValueBytes)
+            return responder.reply(jsonResponse(413, "value too large"));
         const auto found = m_values.find(key);
         const std::uint64_t index = found == m_values.end() ? 0 : found->second.index;
         if (index != expected)
-            return responder.reply(plain(409, R"({"Results":null,"Errors":[{"OpIndex":0}]})"));
+            return responder.reply(
+                jsonResponse(409, R"({"Results":null,"Errors":[{"OpIndex":0}]})"));
         m_values[key] = {std::move(bytes), ++m_index, ""};
         const json reply{{"Results", {{{"KV", {{"Key", key}, {"ModifyIndex", m_index}}}}}},
                          {"Errors", nullptr}};
-        responder.reply(plain(200, reply.dump()));
-        changed(key);
+        responder.reply(jsonResponse(200, reply.dump()));
+        notifyWatches(key);
     }
 
     void put(const std::string &key, const HttpRequest &request, Responder &responder)
@@ -233,14 +243,14 @@
         const auto session = queryValue(request.query, "acquire");
         const auto found = m_values.find(key);
         if (session) {
-            const bool free = found == m_values.end() || found->second.session.empty()
+            const bool isFree = found == m_values.end() || found->second.session.empty()
                 || found->second.session == *session;
-            if (!free || m_sessions.count(*session) == 0)
-                return responder.reply(plain(200, "false"));
+            if (!isFree || m_sessions.count(*session) == 0)
+                return responder.reply(jsonResponse(200, "false"));
         }
         m_values[key] = {request.body.text(), ++m_index, session.value_or("")};
-        responder.reply(plain(200, "true"));
-        changed(key);
+        responder.reply(jsonResponse(200, "true"));
+        notifyWatches(key);
     }
 
     void createSession(const HttpRequest &request, Responder &responder)
@@ -253,23 +263,24 @@
         const std::string id = fmt::format("{:016x}", m_random.next());
         m_sessions[id]
             = {std::chrono::seconds(seconds), m_clock.now() + std::chrono::seconds(seconds)};
-        responder.reply(plain(200, json{{"ID", id}}.dump()));
+        responder.reply(jsonResponse(200, json{{"ID", id}}.dump()));
     }
 
     void renewSession(const std::string &id, Responder &responder)
     {
         const auto found = m_sessions.find(id);
         if (found == m_sessions.end())
-            return responder.reply(plain(404, ""));
-        found->second.expires = m_clock.now() + found->second.life;
-        responder.reply(plain(200, json::array({{{"ID", id}}}).dump()));
+            return responder.reply(jsonResponse(404, ""));
+        found->second.expiresAt = m_clock.now() + found->second.ttl;
+        responder.reply(jsonResponse(200, json::array({{{"ID", id}}}).dump()));
     }
 
+    // Removes expired sessions together with the keys that they hold.
     void expireSessions()
     {
         const TimePoint now = m_clock.now();
         std::erase_if(m_sessions, [&](const auto &session) {
-            if (session.second.expires > now)
+            if (session.second.expiresAt > now)
                 return false;
             std::erase_if(m_values,
                           [&](const auto &value) { return value.second.session == session.first; });
@@ -283,8 +294,8 @@
     std::map<std::string, Value> m_values;
     std::map<std::string, Session> m_sessions;
     std::vector<std::shared_ptr<Watch>> m_watches;
-    std::vector<std::shared_ptr<Responder>> m_held;
-    std::uint64_t m_index = 10;
+    std::vector<std::shared_ptr<Responder>> m_held; // of requests received in the mode "down"
+    std::uint64_t m_index = 10; // index of the last modification
     FaultSwitch<Fault> m_faults{{{"none", Fault::none},
                                  {"down", Fault::down},
                                  {"refuse", Fault::refuse},
@@ -292,7 +303,7 @@
                                  {"late", Fault::late},
                                  {"slow", Fault::slow}}};
     std::atomic<std::uint64_t> m_calls = 0;
-    HttpClient m_silent; // its loop serves as a timer
+    HttpClient m_timerClient; // sends no requests; only its event loop is used, for timers
 };
 
 } // namespace
@@ -306,18 +317,18 @@
     const poptContext context = poptGetContext(nullptr, argc, argv, options, 0);
     while (poptGetNextOpt(context) > 0) { }
     poptFreeContext(context);
-    sigset_t stops;
-    sigemptyset(&stops);
-    sigaddset(&stops, SIGINT);
-    sigaddset(&stops, SIGTERM);
-    pthread_sigmask(SIG_BLOCK, &stops, nullptr);
-    auto store = std::make_unique<StoreStandin>();
+    sigset_t stopSignals;
+    sigemptyset(&stopSignals);
+    sigaddset(&stopSignals, SIGINT);
+    sigaddset(&stopSignals, SIGTERM);
+    pthread_sigmask(SIG_BLOCK, &stopSignals, nullptr);
+    auto store = std::make_unique<FakeStore>();
     HttpServerSettings settings;
     settings.port = static_cast<std::uint16_t>(port);
     HttpLoop loop(2);
     HttpServer server(settings, *store, loop);
     int signal = 0;
-    sigwait(&stops, &signal);
+    sigwait(&stopSignals, &signal);
     loop.stop();
     store.reset();
     return 0;
