--- a/src/ibisnotchctl.cc
+++ b/src/ibisnotchctl.cc
@@ -1,4 +1,5 @@
-// The operators' command line tool.
+// Command line tool for operators: changes the configuration in the store and queries entry
+// instances.
 #include <cstdio>
 #include <functional>
 #include <map>
@@ -20,7 +21,7 @@
 
 namespace {
 
-// Stable; scripts depend on them.
+// Scripts depend on these values.
 enum ExitCode {
     exitOk = 0,
     exitUsage = 1,
@@ -33,36 +34,36 @@
 
 struct Options
 {
-    std::string store;
-    std::vector<std::string> entries;
+    std::string store; // address
+    std::vector<std::string> entries; // peer addresses of entry instances
     std::string author = "operator";
     std::string note;
     std::string site;
-    std::optional<std::uint64_t> basedOn;
+    std::optional<std::uint64_t> basedOn; // version that must be in force for apply to succeed
     bool json = false;
-    std::vector<std::string> words;
+    std::vector<std::string> arguments; // the command and its argument
 };
 
-class Tool
+class OperatorTool
 {
 public:
-    explicit Tool(Options options)
+    explicit OperatorTool(Options options)
         : m_options(std::move(options)), m_store(makeConsulStore(m_client, m_options.store))
     {
     }
 
     int run()
     {
-        static const std::map<std::string, int (Tool::*)()> commands{
-            {"check", &Tool::check},         {"effective", &Tool::effective},
-            {"diff", &Tool::diff},           {"apply", &Tool::apply},
-            {"show", &Tool::show},           {"history", &Tool::history},
-            {"rollback", &Tool::rollBack},   {"status", &Tool::status},
-            {"drain", &Tool::drain},         {"undrain", &Tool::undrain},
-            {"explain", &Tool::explain},     {"codes", &Tool::codes},
-            {"customers", &Tool::customers},
+        static const std::map<std::string, int (OperatorTool::*)()> commands{
+            {"check", &OperatorTool::check},         {"effective", &OperatorTool::effective},
+            {"diff", &OperatorTool::diff},           {"apply", &OperatorTool::apply},
+            {"show", &OperatorTool::show},           {"history", &OperatorTool::history},
+            {"rollback", &OperatorTool::rollBack},   {"status", &OperatorTool::status},
+            {"drain", &OperatorTool::drain},         {"undrain", &OperatorTool::undrain},
+            {"explain", &OperatorTool::explain},     {"codes", &OperatorTool::codes},
+            {"customers", &OperatorTool::customers},
         };
-        const auto found = commands.find(m_options.words.empty() ? "" : m_options.words[0]);
+        const auto found = commands.find(m_options.arguments.empty() ? "" : m_options.arguments[0]);
         if (found == commands.end()) {
             fmt::print(stderr, "unknown command; see ibisnotchctl --help\n");
             return exitUsage;
@@ -71,12 +72,14 @@
     }
 
 private:
-    std::string word(std::size_t index) const
+    // Returns an empty string if there is no such argument; index 0 is the command.
+    std::string argument(std::size_t index) const
     {
-        return index < m_options.words.size() ? m_options.words[index] : "";
+        return index < m_options.arguments.size() ? m_options.arguments[index] : "";
     }
 
-    int fail(const absl::Status &status) const
+    // Returns the exit code for the error.
+    int printError(const absl::Status &status) const
     {
         const std::string message(status.message());
         if (m_options.json)
@@ -97,108 +100,109 @@
         }
     }
 
-    void say(const nlohmann::json &json, const std::string &text) const
+    void print(const nlohmann::json &json, const std::string &text) const
     {
         fmt::print("{}\n", m_options.json ? json.dump() : text);
     }
 
     int check()
     {
-        const auto document = loadDocument(word(1));
+        const auto document = loadDocument(argument(1));
         if (!document.ok())
-            return fail(document.status());
+            return printError(document.status());
         const auto sites = validateDocument(*document, nullptr);
         if (!sites.ok())
-            return fail(sites.status());
-        say({{"ok", true}, {"sites", sites->size()}},
-            fmt::format("good for {} sites", sites->size()));
+            return printError(sites.status());
+        print({{"ok", true}, {"sites", sites->size()}},
+              fmt::format("valid for {} sites", sites->size()));
         return exitOk;
     }
 
     int effective()
     {
-        const auto document = loadDocument(word(1));
+        const auto document = loadDocument(argument(1));
         if (!document.ok())
-            return fail(document.status());
+            return printError(document.status());
         const auto settings = effectiveSettings(*document, m_options.site);
         if (!settings.ok())
-            return fail(settings.status());
+            return printError(settings.status());
         fmt::print("{}", printSettings(*settings));
         return exitOk;
     }
 
     int diff()
     {
-        const auto document = loadDocument(word(1));
-        const auto now = m_admin.current();
-        if (!document.ok() || !now.ok())
-            return fail(document.ok() ? now.status() : document.status());
-        const std::string text = diffDocuments(now->document.value_or(ConfigDocument{}), *document);
-        say({{"diff", text}}, text.empty() ? "no difference" : text);
+        const auto document = loadDocument(argument(1));
+        const auto current = m_admin.current();
+        if (!document.ok() || !current.ok())
+            return printError(document.ok() ? current.status() : document.status());
+        const std::string text
+            = diffDocuments(current->document.value_or(ConfigDocument{}), *document);
+        print({{"diff", text}}, text.empty() ? "no difference" : text);
         return exitOk;
     }
 
-    int accepted(const absl::StatusOr<ConfigDocument> &document) const
+    int printResult(const absl::StatusOr<ConfigDocument> &document) const
     {
         if (!document.ok())
-            return fail(document.status());
-        say({{"version", document->version}},
-            fmt::format("version {} accepted", document->version));
+            return printError(document.status());
+        print({{"version", document->version}},
+              fmt::format("version {} accepted", document->version));
         return exitOk;
     }
 
     int apply()
     {
-        auto document = loadDocument(word(1));
+        auto document = loadDocument(argument(1));
         if (!document.ok())
-            return fail(document.status());
+            return printError(document.status());
         document->author = m_options.author;
         document->note = m_options.note;
-        return accepted(m_admin.apply(*std::move(document), m_options.basedOn));
+        return printResult(m_admin.apply(*std::move(document), m_options.basedOn));
     }
 
     int rollBack()
     {
         std::uint64_t number = 0;
-        if (!absl::SimpleAtoi(word(1), &number)) {
+        if (!absl::SimpleAtoi(argument(1), &number)) {
             fmt::print(stderr, "rollback: a version number is expected\n");
             return exitUsage;
         }
-        return accepted(m_admin.rollBack(number, m_options.author));
+        return printResult(m_admin.rollBack(number, m_options.author));
     }
 
     int show()
     {
         std::uint64_t number = 0;
-        const auto now = m_admin.current();
-        if (!now.ok())
-            return fail(now.status());
-        if (!now->document)
-            return fail(absl::NotFoundError("no configuration yet"));
-        auto document = absl::StatusOr<ConfigDocument>(*now->document);
-        if (absl::SimpleAtoi(word(1), &number))
+        const auto current = m_admin.current();
+        if (!current.ok())
+            return printError(current.status());
+        if (!current->document)
+            return printError(absl::NotFoundError("no configuration yet"));
+        auto document = absl::StatusOr<ConfigDocument>(*current->document);
+        if (absl::SimpleAtoi(argument(1), &number))
             document = m_admin.version(number);
         if (!document.ok())
-            return fail(document.status());
+            return printError(document.status());
         std::string text
             = fmt::format("version {} by {}: {}\n--- {}\n{}", document->version, document->author,
                           document->note, document->base.name, document->base.text);
         for (const auto &[site, file] : document->overlays)
             text += fmt::format("--- {}\n{}", file.name, file.text);
-        say(nlohmann::json::parse(serializeDocument(*document)), text);
+        print(nlohmann::json::parse(serializeDocument(*document)), text);
         return exitOk;
     }
 
     int history()
     {
-        constexpr std::uint64_t shown = 20;
-        const auto now = m_admin.current();
-        if (!now.ok())
-            return fail(now.status());
-        const std::uint64_t newest = now->document ? now->document->version : 0;
+        constexpr std::uint64_t maxVersions = 20;
+        const auto current = m_admin.current();
+        if (!current.ok())
+            return printError(current.status());
+        const std::uint64_t newest = current->document ? current->document->version : 0;
         nlohmann::json list = nlohmann::json::array();
         std::string text;
-        for (std::uint64_t number = newest; number > 0 && newest - number < shown; --number) {
+        for (std::uint64_t number = newest; number > 0 && newest - number < maxVersions; --number) {
             const auto document = m_admin.version(number);
             if (!document.ok())
                 continue;
@@ -206,12 +210,12 @@
                 {{"version", number}, {"author", document->author}, {"note", document->note}});
             text += fmt::format("{}  {}  {}\n", number, document->author, document->note);
         }
-        say(list, text);
+        print(list, text);
         return exitOk;
     }
 
-    BufferedResponse ask(const std::string &entry, const std::string &method,
-                         const std::string &path)
+    BufferedResponse sendTo(const std::string &entry, const std::string &method,
+                            const std::string &path)
     {
         OutgoingRequest request;
         request.method = method;
@@ -220,27 +224,28 @@
         return sendAndWait(m_client, std::move(request));
     }
 
-    // Asks all instances named for a page; `text` is what one that answered is shown as.
-    std::size_t askAll(const std::string &path,
-                       const std::function<std::string(const nlohmann::json &)> &text)
+    // Requests a page of each instance and prints them. `text` formats the page of one instance.
+    // Returns the number of instances that responded.
+    std::size_t printPageOfEach(const std::string &path,
+                                const std::function<std::string(const nlohmann::json &)> &text)
     {
         nlohmann::json all = nlohmann::json::array();
-        std::string shown;
-        std::size_t answered = 0;
+        std::string allText;
+        std::size_t responded = 0;
         for (const std::string &entry : m_options.entries) {
-            const BufferedResponse answer = ask(entry, "GET", path);
-            const auto body = nlohmann::json::parse(answer.response.body, nullptr, false);
-            if (answer.response.status != 200 || !body.is_object()) {
-                shown += fmt::format("{}: no answer\n", entry);
+            const BufferedResponse reply = sendTo(entry, "GET", path);
+            const auto body = nlohmann::json::parse(reply.response.body, nullptr, false);
+            if (reply.response.status != 200 || !body.is_object()) {
+                allText += fmt::format("{}: no answer\n", entry);
                 all.push_back({{"entry", entry}, {"error", "no answer"}});
                 continue;
             }
-            ++answered;
+            ++responded;
             all.push_back(body);
-            shown += text(body);
+            allText += text(body);
         }
-        say(all, shown);
-        return answered;
+        print(all, allText);
+        return responded;
     }
 
     static std::string statusText(const nlohmann::json &body)
@@ -262,32 +267,32 @@
 
     int status()
     {
-        askAll("/admin/status", statusText);
+        printPageOfEach("/admin/status", statusText);
         return exitOk;
     }
 
-    // Every instance of the region must know, so all that are named are told.
-    int drainWith(const std::string &path)
+    // Posts to all given instances, as each instance of a region routes requests on its own.
+    int postToEach(const std::string &path)
     {
-        int told = 0;
+        int successes = 0;
         for (const std::string &entry : m_options.entries)
-            told += ask(entry, "POST", path + word(1)).response.status == 200 ? 1 : 0;
-        say({{"told", told}}, fmt::format("{} instances told", told));
-        return told > 0 ? exitOk : exitNotFound;
+            successes += sendTo(entry, "POST", path + argument(1)).response.status == 200 ? 1 : 0;
+        print({{"told", successes}}, fmt::format("{} instances told", successes));
+        return successes > 0 ? exitOk : exitNotFound;
     }
 
-    int drain() { return drainWith("/admin/drain?server="); }
+    int drain() { return postToEach("/admin/drain?server="); }
 
-    int undrain() { return drainWith("/admin/undrain?server="); }
+    int undrain() { return postToEach("/admin/undrain?server="); }
 
     int explain()
     {
         nlohmann::json all = nlohmann::json::array();
         std::string text;
         for (const std::string &entry : m_options.entries) {
-            const BufferedResponse answer = ask(entry, "GET", "/admin/explain?id=" + word(1));
-            const auto body = nlohmann::json::parse(answer.response.body, nullptr, false);
-            if (answer.response.status != 200 || !body.is_object())
+            const BufferedResponse reply = sendTo(entry, "GET", "/admin/explain?id=" + argument(1));
+            const auto body = nlohmann::json::parse(reply.response.body, nullptr, false);
+            if (reply.response.status != 200 || !body.is_object())
                 continue;
             all.push_back(body);
             text += fmt::format("{}: {} for {}, result {}\n", body["instance"].get<std::string>(),
@@ -298,8 +303,9 @@
                                     step["what"].get<std::string>());
         }
         if (all.empty())
-            return fail(absl::NotFoundError("no instance that was asked knows this request"));
-        say(all, text);
+            return printError(
+                absl::NotFoundError("none of the instances has a trace of this request"));
+        print(all, text);
         return exitOk;
     }
 
@@ -329,7 +335,7 @@
 
     int customers()
     {
-        return askAll("/admin/customers", customersText) > 0 ? exitOk : exitNotFound;
+        return printPageOfEach("/admin/customers", customersText) > 0 ? exitOk : exitNotFound;
     }
 
     int codes()
@@ -346,7 +352,8 @@
     ConfigAdmin m_admin{*m_store};
 };
 
-std::string taken(char *text)
+// Copies a string that popt allocated, and frees it.
+std::string toStringAndFree(char *text)
 {
     std::string result = text == nullptr ? "" : text;
     free(text);
@@ -358,14 +365,14 @@
       "  check FOLDER              check base.yaml and sites/*.yaml, offline\n"
       "  effective FOLDER --site S print a site's settings, each with its origin\n"
       "  diff FOLDER               compare with the version in force\n"
-      "  apply FOLDER              make it the next version\n"
+      "  apply FOLDER              store it as the next version\n"
       "  show [VERSION]            print the version in force, or another\n"
       "  history                   list the latest versions\n"
-      "  rollback VERSION          make an earlier version the next one\n"
+      "  rollback VERSION          store an earlier version as the next one\n"
       "  status                    instances and backend servers\n"
       "  drain SERVER, undrain SERVER\n"
-      "  explain REQUEST-ID        each choice, attempt and refusal\n"
-      "  customers                 keys by fingerprint, use and caps\n"
+      "  explain REQUEST-ID        each decision, attempt and rejection\n"
+      "  customers                 keys by fingerprint, usage and caps\n"
       "  codes                     the table of result codes\n\n"
       "Exit codes: 0 done, 1 wrong usage, 2 settings refused, 3 another operator was first,\n"
       "4 store unavailable and nothing changed, 5 outcome unknown, 6 not found.\n\nOptions:";
@@ -381,37 +388,38 @@
     char *site = nullptr;
     int json = 0;
     long basedOn = -1;
-    const poptOption table[] = {
-        {"store", 0, POPT_ARG_STRING, &store, 0, "the platform's store", "IP:PORT"},
-        {"entries", 0, POPT_ARG_STRING, &entries, 0, "peers' ports of entry instances",
-         "IP:PORT,..."},
-        {"author", 0, POPT_ARG_STRING, &author, 0, "who makes the change", "NAME"},
-        {"note", 0, POPT_ARG_STRING, &note, 0, "why", "TEXT"},
-        {"site", 0, POPT_ARG_STRING, &site, 0, "a region", "SITE"},
-        {"based-on", 0, POPT_ARG_LONG, &basedOn, 0, "refuse unless this version is in force", "N"},
-        {"json", 0, POPT_ARG_NONE, &json, 0, "print JSON", nullptr},
-        POPT_AUTOHELP POPT_TABLEEND};
+    const poptOption table[]
+        = {{"store", 0, POPT_ARG_STRING, &store, 0, "the platform's store", "IP:PORT"},
+           {"entries", 0, POPT_ARG_STRING, &entries, 0, "peers' ports of entry instances",
+            "IP:PORT,..."},
+           {"author", 0, POPT_ARG_STRING, &author, 0, "who makes the change", "NAME"},
+           {"note", 0, POPT_ARG_STRING, &note, 0, "why", "TEXT"},
+           {"site", 0, POPT_ARG_STRING, &site, 0, "a region", "SITE"},
+           {"based-on", 0, POPT_ARG_LONG, &basedOn, 0,
+            "reject the change unless this version is in force", "N"},
+           {"json", 0, POPT_ARG_NONE, &json, 0, "print JSON", nullptr},
+           POPT_AUTOHELP POPT_TABLEEND};
     const poptContext context = poptGetContext(nullptr, argc, argv, table, 0);
     poptSetOtherOptionHelp(context, usage);
     const int end = poptGetNextOpt(context);
     Options options;
-    options.store = taken(store);
-    options.author = author == nullptr ? "operator" : taken(author);
-    options.note = taken(note);
-    options.site = taken(site);
+    options.store = toStringAndFree(store);
+    options.author = author == nullptr ? "operator" : toStringAndFree(author);
+    options.note = toStringAndFree(note);
+    options.site = toStringAndFree(site);
     options.json = json != 0;
     if (basedOn >= 0)
         options.basedOn = static_cast<std::uint64_t>(basedOn);
-    const std::string list = taken(entries);
-    if (!list.empty())
-        options.entries = absl::StrSplit(list, ',');
-    while (const char *word = poptGetArg(context))
-        options.words.emplace_back(word);
+    const std::string entryList = toStringAndFree(entries);
+    if (!entryList.empty())
+        options.entries = absl::StrSplit(entryList, ',');
+    while (const char *argument = poptGetArg(context))
+        options.arguments.emplace_back(argument);
     if (end < -1) {
         fmt::print(stderr, "{}: {}\n", poptBadOption(context, 0), poptStrerror(end));
         poptFreeContext(context);
         return exitUsage;
     }
     poptFreeContext(context);
-    return Tool(std::move(options)).run();
+    return OperatorTool(std::move(options)).run();
 }
