--- a/src/ibisnotch-burn.cc
+++ b/src/ibisnotch-burn.cc
@@ -1,5 +1,5 @@
-// The report on service-level burn: merges what the entry instances counted and prints how fast
-// each service's error budget is spent, for each customer, over short and long windows.
+// Reports error budget burn rates: merges the request counts of the entry instances and prints how
+// fast each service spends its error budget, for each customer, over short and long windows.
 #include <algorithm>
 #include <cstdio>
 #include <map>
@@ -20,16 +20,16 @@
 
 namespace {
 
-constexpr double defaultObjective = 0.99;
+constexpr double defaultObjective = 0.99; // share of good requests
 constexpr int exitUsage = 1;
-constexpr int exitNothing = 6;
+constexpr int exitNoData = 6;
 
 struct Report
 {
     std::vector<BurnSeries> series;
-    std::map<std::string, double> objectives;
-    std::vector<std::string> missing; // what could not be had, in words
-    std::int64_t untilMinute = 0;
+    std::map<std::string, double> objectives; // by service
+    std::vector<std::string> missing; // one line for each part of the data that is missing
+    std::int64_t untilMinute = 0; // last minute of the report, since the epoch
 };
 
 double objectiveOf(const Report &report, const std::string &service)
@@ -44,7 +44,7 @@
     const auto stored = ConfigAdmin(*store).current();
     if (!stored.ok() || !stored->document || stored->document->overlays.empty()) {
         report.missing.push_back(fmt::format(
-            "objectives: the store did not answer, {} taken for all", defaultObjective));
+            "objectives: the store did not respond, using {} for all services", defaultObjective));
         return;
     }
     const auto config
@@ -55,35 +55,37 @@
         report.objectives[name] = service.objective;
 }
 
-void readInstances(HttpClient &client, const std::vector<std::string> &entries, Report &report)
+void readSeries(HttpClient &client, const std::vector<std::string> &entries, Report &report)
 {
     std::vector<std::vector<BurnSeries>> parts;
     for (const std::string &entry : entries) {
         OutgoingRequest request;
         request.url = "http://" + entry + "/admin/burn";
         request.limits.total = std::chrono::seconds(3);
-        const BufferedResponse answer = sendAndWait(client, request);
-        if (answer.result.outcome != TransferOutcome::complete || answer.response.status != 200)
-            report.missing.push_back("instance " + entry + ": no answer, its requests are missing");
+        const BufferedResponse reply = sendAndWait(client, request);
+        if (reply.result.outcome != TransferOutcome::complete || reply.response.status != 200)
+            report.missing.push_back("instance " + entry
+                                     + ": no response, its requests are missing");
         else
-            parts.push_back(parseBurn(answer.response.body));
+            parts.push_back(parseBurn(reply.response.body));
     }
     report.series = mergeBurn(parts);
-    // Instances keep their counts in memory, so one that was replaced has only its own time.
-    std::int64_t first = report.untilMinute;
+    // Instances keep their counts in memory, so a restarted instance has counts since its start
+    // only.
+    std::int64_t firstMinute = report.untilMinute;
     for (const BurnSeries &series : report.series) {
         if (!series.minutes.empty())
-            first = std::min(first, series.minutes.begin()->first);
+            firstMinute = std::min(firstMinute, series.minutes.begin()->first);
     }
-    const auto covered = report.untilMinute - first + 1;
+    const auto coveredMinutes = report.untilMinute - firstMinute + 1;
     for (const BurnWindow &window : burnWindows) {
-        if (covered < window.minutes)
+        if (coveredMinutes < window.minutes)
             report.missing.push_back(fmt::format("window {}: counts of {} of {} minutes only",
-                                                 window.name, covered, window.minutes));
+                                                 window.name, coveredMinutes, window.minutes));
     }
 }
 
-std::string printText(const Report &report)
+std::string formatText(const Report &report)
 {
     std::string out = fmt::format("{:<20} {:<12} {:>9}", "service", "customer", "objective");
     for (const BurnWindow &window : burnWindows)
@@ -131,20 +133,21 @@
     return out;
 }
 
-// Share of bad requests a minute over the last hour, with the line at which the budget is spent
-// exactly. Minutes without requests are left open.
+// Plots the share of bad requests per minute over the last hour. A dashed line marks the share that
+// spends the budget exactly. Minutes without requests have no bar.
 std::string plotSvg(const Report &report, const BurnSeries &series)
 {
     constexpr int minutes = 60;
     constexpr int width = 480;
     constexpr int height = 90;
-    constexpr int left = 40;
-    constexpr double step = static_cast<double>(width) / minutes;
+    constexpr int left = 40; // margin for the labels
+    constexpr double minuteWidth = static_cast<double>(width) / minutes;
     const double budget = 1 - objectiveOf(report, series.service);
-    double top = budget * 2;
+    double maxShare = budget * 2;
     for (const auto &[minute, count] : series.minutes)
-        top = std::max(top, static_cast<double>(count.bad) / static_cast<double>(count.total));
-    const auto y = [&](double share) { return height - share / top * (height - 10); };
+        maxShare
+            = std::max(maxShare, static_cast<double>(count.bad) / static_cast<double>(count.total));
+    const auto y = [&](double share) { return height - share / maxShare * (height - 10); };
     std::string out = fmt::format("<svg width=\"{}\" height=\"{}\" role=\"img\">",
                                   width + left + 10, height + 24);
     out += fmt::format("<rect x=\"{}\" y=\"0\" width=\"{}\" height=\"{}\" fill=\"#f4f4f2\"/>", left,
@@ -154,24 +157,24 @@
         if (ago < 0 || ago >= minutes)
             continue;
         const double share = static_cast<double>(count.bad) / static_cast<double>(count.total);
-        const double x = left + width - static_cast<double>(ago + 1) * step;
+        const double x = left + width - static_cast<double>(ago + 1) * minuteWidth;
         const double barTop = std::min(y(share), height - 2.0);
         out += fmt::format("<rect x=\"{:.1f}\" y=\"{:.1f}\" width=\"{:.1f}\" height=\"{:.1f}\" "
                            "fill=\"{}\"/>",
-                           x, barTop, step - 1, height - barTop,
+                           x, barTop, minuteWidth - 1, height - barTop,
                            share > budget ? "#b3261e" : "#3b6ea5");
     }
     out += fmt::format("<line x1=\"{0}\" x2=\"{1}\" y1=\"{2:.1f}\" y2=\"{2:.1f}\" stroke=\"#444\" "
                        "stroke-dasharray=\"4 3\"/>",
                        left, left + width, y(budget));
     out += fmt::format("<text x=\"2\" y=\"{:.1f}\">{:.1f}%</text>", y(budget) + 4, budget * 100);
-    out += fmt::format("<text x=\"2\" y=\"10\">{:.1f}%</text>", top * 100);
+    out += fmt::format("<text x=\"2\" y=\"10\">{:.1f}%</text>", maxShare * 100);
     out += fmt::format("<text x=\"{}\" y=\"{}\">60 min ago</text>", left, height + 16);
     out += fmt::format("<text x=\"{}\" y=\"{}\">now</text></svg>", left + width - 24, height + 16);
     return out;
 }
 
-std::string printHtml(const Report &report)
+std::string formatHtml(const Report &report)
 {
     std::string out
         = "<!doctype html><html lang=\"en\"><meta charset=\"utf-8\"><title>Service-level "
@@ -181,7 +184,8 @@
           "td:nth-child(-n+2),th:nth-child(-n+2){text-align:left}.hot{color:#b3261e;font-weight:"
           "bold}svg text{font:10px sans-serif;fill:#444}h2{font-size:14px;margin:20px 0 4px}"
           ".missing{color:#8a5a00}</style><h1>Service-level burn</h1>"
-          "<p>1.00 spends the error budget exactly over its period; more spends it sooner.</p>"
+          "<p>A burn rate of 1.00 spends the error budget exactly over its period; a higher rate "
+          "spends it sooner.</p>"
           "<table><tr><th>service<th>customer<th>objective";
     for (const BurnWindow &window : burnWindows)
         out += fmt::format("<th>{}", window.name);
@@ -197,7 +201,7 @@
     out += "</table>";
     for (const std::string &line : report.missing)
         out += "<p class=\"missing\">Missing: " + escapeHtml(line) + "</p>";
-    out += "<p>Share of bad requests a minute; the dashed line is the budget.</p>";
+    out += "<p>Share of bad requests per minute; the dashed line is the error budget.</p>";
     for (const BurnSeries &series : report.series)
         out += fmt::format("<h2>{}, {}</h2>{}", escapeHtml(series.service),
                            escapeHtml(series.customer), plotSvg(report, series));
@@ -220,16 +224,17 @@
            POPT_AUTOHELP POPT_TABLEEND};
     const poptContext context = poptGetContext(nullptr, argc, argv, options, 0);
     const int end = poptGetNextOpt(context);
-    const std::string list = entries == nullptr ? "" : entries;
+    const std::string entryList = entries == nullptr ? "" : entries;
     const std::string storeAddress = store == nullptr ? "" : store;
-    const std::string form = format == nullptr ? "text" : format;
+    const std::string outputFormat = format == nullptr ? "text" : format;
     free(entries);
     free(store);
     free(format);
     poptFreeContext(context);
-    const bool known = form == "text" || form == "json" || form == "html";
-    if (end < -1 || list.empty() || !known) {
-        fmt::print(stderr, "--entries is needed, --format is text, json or html; see --help\n");
+    const bool isKnownFormat
+        = outputFormat == "text" || outputFormat == "json" || outputFormat == "html";
+    if (end < -1 || entryList.empty() || !isKnownFormat) {
+        fmt::print(stderr, "--entries is required; --format is text, json or html; see --help\n");
         return exitUsage;
     }
     HttpClient client;
@@ -238,10 +243,10 @@
                              SystemClock().wallNow().time_since_epoch())
                              .count();
     readObjectives(client, storeAddress, report);
-    readInstances(client, absl::StrSplit(list, ','), report);
-    if (form == "json")
+    readSeries(client, absl::StrSplit(entryList, ','), report);
+    if (outputFormat == "json")
         fmt::print("{}\n", toJson(report).dump());
     else
-        fmt::print("{}", form == "html" ? printHtml(report) : printText(report));
-    return report.series.empty() ? exitNothing : 0;
+        fmt::print("{}", outputFormat == "html" ? formatHtml(report) : formatText(report));
+    return report.series.empty() ? exitNoData : 0;
 }
