--- a/src/entry/filters.cc
+++ b/src/entry/filters.cc
@@ -15,8 +15,7 @@
 
 namespace {
 
-// Parses the forward path of a peer's request and refuses loops. Ignores the path of a caller's
-// request, which may be forged.
+// Ignores the forward path of a caller's request, which may be forged.
 class ForwardPathFilter final : public Filter
 {
 public:
--- a/src/entry/filters.h
+++ b/src/entry/filters.h
@@ -28,18 +28,23 @@
 // Returns the text after "Bearer " in the Authorization header; empty if there is none.
 std::string bearerToken(const Headers &headers);
 
-// Returns the refusal for a request whose customer is not in this instance's configuration.
+// Returns the refusal for a request whose customer is not in this instance's configuration. It is
+// temporary if the configuration may be outdated.
 Refusal unknownCustomerRefusal(EntryState &state, const Exchange &exchange);
 
-// Filters that every protocol can use. Checks the forward path.
+// The following filters can be used with every protocol.
+
+// Reads the forward path of a peer's request and refuses a loop.
 std::unique_ptr<Filter> makeForwardPathFilter(EntryState &state);
 // Selects the service by host and path, and sets pool, customer, fingerprint and prefix hash.
 std::unique_ptr<Filter> makePathRuleFilter(EntryState &state);
 // Sets the deadline from the caller's timeout and the service's deadline.
 std::unique_ptr<Filter> makeTimeoutFilter();
-// Sets the allowed regions.
+// Sets the regions in which the request may run. Refuses it if there is none, or if a peer
+// forwarded it to a region that is not allowed.
 std::unique_ptr<Filter> makeResidencyFilter(EntryState &state);
-// Refuses quarantined requests.
+// Refuses quarantined requests, and copies of a request whose quarantine trial is running. Bookings
+// are checked later.
 std::unique_ptr<Filter> makeQuarantineFilter(EntryState &state);
 // Applies the customer's usage cap, on the first instance of a request only. Must be the last
 // filter, because it counts every request that passes.
--- a/src/entry/trace.h
+++ b/src/entry/trace.h
@@ -10,6 +10,7 @@
 
 namespace ibisnotch {
 
+// One step of handling a request.
 struct TraceStep
 {
     long long atMs = 0; // milliseconds since the request arrived
