--- a/src/load/load-control.cc
+++ b/src/load/load-control.cc
@@ -1,4 +1,4 @@
-// Times and costs of bookings, configuration changes and leaving backend servers.
+// Measures bookings, configuration changes and draining backend servers.
 #include <thread>
 
 #include <fmt/format.h>
@@ -27,6 +27,7 @@
     return secondsSince(start) * 1000;
 }
 
+// Returns the number of calls that the simulated store has received.
 long storeCalls(HttpClient &client, const std::string &store)
 {
     OutgoingRequest request;
@@ -54,33 +55,34 @@
 
 } // namespace
 
-// Bookings one after the other, straight to the engine, with callers' keys and with issued keys.
-int runBookings(const Options &options)
+// Sends bookings one after the other: directly to the engine, with keys made by the caller and with
+// keys issued by the entry instance.
+int measureBookings(const Options &options)
 {
     HttpClient client;
     SystemClock clock;
     Random random(randomSeed());
-    for (const std::string way : {"direct", "own key", "issued key"}) {
+    for (const std::string route : {"direct", "own key", "issued key"}) {
         Milliseconds times;
         int unknown = 0;
-        const long before = storeCalls(client, options.store);
+        const long callsBefore = storeCalls(client, options.store);
         const auto begin = std::chrono::steady_clock::now();
         for (int i = 0; i < options.count; ++i) {
-            const std::string key = way == "issued key" ? issueKey(client, options.entry)
-                                                        : makeCallerKey(clock.wallNow(), random);
-            OutgoingRequest request
-                = call(options.entry, "arena-token", "POST", "order-commit", key, "{\"n\":1}");
-            if (way == "direct")
+            const std::string key = route == "issued key" ? issueKey(client, options.entry)
+                                                          : makeCallerKey(clock.wallNow(), random);
+            OutgoingRequest request = serviceRequest(options.entry, "arena-token", "POST",
+                                                     "order-commit", key, "{\"n\":1}");
+            if (route == "direct")
                 request.url = "http://" + options.engine + "/orders";
             const auto start = std::chrono::steady_clock::now();
-            const BufferedResponse answer = sendAndWait(client, std::move(request));
+            const BufferedResponse reply = sendAndWait(client, std::move(request));
             times.push_back(millisecondsSince(start));
-            unknown += field(answer, "X-Run-State") == "unknown" ? 1 : 0;
+            unknown += headerValue(reply, "X-Run-State") == "unknown" ? 1 : 0;
         }
-        // The outcomes are written after the answers.
+        // Instances write the outcomes to the store after they have responded.
         std::this_thread::sleep_for(std::chrono::seconds(1));
-        const double calls = static_cast<double>(storeCalls(client, options.store) - before);
-        reportTimes(way, times);
+        const double calls = static_cast<double>(storeCalls(client, options.store) - callsBefore);
+        reportTimes(route, times);
         fmt::print("  unknown {} of {}, {:.2f} store calls a booking (all callers of the store, "
                    "over {:.1f} s)\n",
                    unknown, options.count, calls / options.count, secondsSince(begin));
@@ -88,8 +90,9 @@
     return 0;
 }
 
-// Time from a change's acceptance to its being in force on every instance.
-int runInForce(const Options &options)
+// Measures the time from the acceptance of a configuration change until it is in force on every
+// instance.
+int measureConfigChanges(const Options &options)
 {
     HttpClient client;
     const auto store = makeConsulStore(client, options.store);
@@ -114,9 +117,9 @@
     return 0;
 }
 
-// Time from an engine's word that it is leaving to the moment when every instance of its region
-// sends it nothing more.
-int runLeaving(const Options &options)
+// Measures the time from an engine's report that it is draining until every instance of its region
+// shows it as leaving and sends it no more requests.
+int measureDraining(const Options &options)
 {
     HttpClient client;
     const auto setMode = [&](const std::string &mode) {
@@ -125,7 +128,7 @@
         request.url = "http://" + options.engine + "/standin/fault?mode=" + mode;
         sendAndWait(client, std::move(request));
     };
-    const auto leavingKnown = [&](const std::string &entry) {
+    const auto isShownAsLeaving = [&](const std::string &entry) {
         const auto status = statusOf(client, entry);
         for (const auto &server : status.value("servers", nlohmann::json::array())) {
             if (server["address"] == options.engine)
@@ -136,9 +139,9 @@
     const auto start = std::chrono::steady_clock::now();
     setMode("leaving");
     for (const std::string &entry : options.entries) {
-        while (!leavingKnown(entry))
+        while (!isShownAsLeaving(entry))
             std::this_thread::sleep_for(std::chrono::milliseconds(1));
-        fmt::print("{} knows after {:.0f} ms\n", entry, millisecondsSince(start));
+        fmt::print("{} shows it as leaving after {:.0f} ms\n", entry, millisecondsSince(start));
     }
     return 0;
 }
--- a/src/load/load-demo.cc
+++ b/src/load/load-demo.cc
@@ -1,4 +1,4 @@
-// Sends one request of each kind and prints what each did and where it ran.
+// Sends one request of each kind and prints its result and the server that ran it.
 #include <fmt/format.h>
 #include <nlohmann/json.hpp>
 
@@ -16,48 +16,54 @@
 
     int run()
     {
-        if (!askForEntries())
+        if (!requestEntries())
             return exitFailed;
         SystemClock clock;
         Random random(randomSeed());
-        const std::string ownKey = makeCallerKey(clock.wallNow(), random);
-        const std::string rider = "{\"item\":\"hot meals\",\"count\":12}";
-        show("digest, streamed",
-             chat(m_entry, "arena-token", "rider-digest",
-                  chatBody("digest-7b", "Full rider and venue notes.", true, 12)));
-        show("dressing-room note",
-             chat(m_entry, "arena-token", "dressing-note",
-                  chatBody("note-1b", "Towels for room 3?", false, 8)));
-        show("booking, caller's key",
-             call(m_entry, "arena-token", "POST", "order-commit", ownKey, rider));
-        show("the same, sent again",
-             call(m_entry, "arena-token", "POST", "order-commit", ownKey, rider));
-        show("booking, issued key",
-             call(m_entry, "arena-token", "POST", "order-commit", m_key, rider));
-        show("the same, elsewhere",
-             call(m_other, "arena-token", "POST", "order-commit", m_key, rider));
-        show("status read", call(m_entry, "castle-token", "GET", "status-read", "", ""));
-        show("delivery schedule",
-             chat(m_entry, "clinic-token", "delivery-schedule",
-                  chatBody("digest-7b", "Standing schedule.", true, 12)));
-        show("refill order",
-             call(m_entry, "clinic-token", "POST", "refill-order",
-                  makeCallerKey(clock.wallNow(), random), "{\"dewar\":7}"));
-        show("stock lookup", call(m_entry, "clinic-token", "GET", "stock-lookup", "", ""));
+        const std::string callerKey = makeCallerKey(clock.wallNow(), random);
+        const std::string order = "{\"item\":\"hot meals\",\"count\":12}";
+        sendAndPrint("digest, streamed",
+                     chatRequest(m_entry, "arena-token", "rider-digest",
+                                 chatBody("digest-7b", "Full rider and venue notes.", true, 12)));
+        sendAndPrint("dressing-room note",
+                     chatRequest(m_entry, "arena-token", "dressing-note",
+                                 chatBody("note-1b", "Towels for room 3?", false, 8)));
+        sendAndPrint(
+            "booking, caller's key",
+            serviceRequest(m_entry, "arena-token", "POST", "order-commit", callerKey, order));
+        sendAndPrint(
+            "the same, sent again",
+            serviceRequest(m_entry, "arena-token", "POST", "order-commit", callerKey, order));
+        sendAndPrint(
+            "booking, issued key",
+            serviceRequest(m_entry, "arena-token", "POST", "order-commit", m_issuedKey, order));
+        sendAndPrint("the same, elsewhere",
+                     serviceRequest(m_otherEntry, "arena-token", "POST", "order-commit",
+                                    m_issuedKey, order));
+        sendAndPrint("status read",
+                     serviceRequest(m_entry, "castle-token", "GET", "status-read", "", ""));
+        sendAndPrint("delivery schedule",
+                     chatRequest(m_entry, "clinic-token", "delivery-schedule",
+                                 chatBody("digest-7b", "Standing schedule.", true, 12)));
+        sendAndPrint("refill order",
+                     serviceRequest(m_entry, "clinic-token", "POST", "refill-order",
+                                    makeCallerKey(clock.wallNow(), random), "{\"dewar\":7}"));
+        sendAndPrint("stock lookup",
+                     serviceRequest(m_entry, "clinic-token", "GET", "stock-lookup", "", ""));
         return m_failed ? exitFailed : 0;
     }
 
 private:
-    bool askForEntries()
+    bool requestEntries()
     {
         OutgoingRequest request;
         request.url = "http://" + m_entry + "/v1/entries?keys=1";
         request.headers = {{"Authorization", "Bearer arena-token"}};
-        const BufferedResponse answer = sendAndWait(m_client, request);
-        const auto body = nlohmann::json::parse(answer.response.body, nullptr, false);
+        const BufferedResponse reply = sendAndWait(m_client, request);
+        const auto body = nlohmann::json::parse(reply.response.body, nullptr, false);
         if (!body.is_object() || !body.contains("instances") || body["instances"].empty()
             || body["booking_keys"].empty()) {
-            fmt::print("no list of entry instances: {}\n", answer.response.body);
+            fmt::print("no list of entry instances: {}\n", reply.response.body);
             return false;
         }
         fmt::print("entry instances to use, for {} ms:\n", body["lifetime_ms"].dump());
@@ -65,38 +71,38 @@
             fmt::print("  {} in {} at {}\n", instance["name"].get<std::string>(),
                        instance["region"].get<std::string>(),
                        instance["address"].get<std::string>());
-        m_key = body["booking_keys"][0];
-        m_other = body["instances"].back()["address"];
+        m_issuedKey = body["booking_keys"][0];
+        m_otherEntry = body["instances"].back()["address"];
         for (const auto &instance : body["instances"]) {
             if (instance["address"] != m_entry)
-                m_other = instance["address"];
+                m_otherEntry = instance["address"];
         }
         return true;
     }
 
-    void show(const std::string &what, const OutgoingRequest &request)
+    void sendAndPrint(const std::string &what, const OutgoingRequest &request)
     {
-        const BufferedResponse answer = sendAndWait(m_client, request);
-        const std::string &body = answer.response.body;
+        const BufferedResponse reply = sendAndWait(m_client, request);
+        const std::string &body = reply.response.body;
         std::size_t events = 0;
         for (std::size_t at = body.find("data: "); at != std::string::npos;
              at = body.find("data: ", at + 1))
             ++events;
-        const bool whole = answer.result.outcome == TransferOutcome::complete;
+        const bool isComplete = reply.result.outcome == TransferOutcome::complete;
         fmt::print("{:<22} status {} result {} ({}) by {}{} request {}\n", what,
-                   answer.response.status, field(answer, "X-Result-Code"),
-                   field(answer, "X-Run-State"), field(answer, "X-Served-By"),
+                   reply.response.status, headerValue(reply, "X-Result-Code"),
+                   headerValue(reply, "X-Run-State"), headerValue(reply, "X-Served-By"),
                    events > 0 ? fmt::format(", {} events", events) : "",
-                   field(answer, "X-Request-Id"));
-        if (!whole || answer.response.status != 200) {
+                   headerValue(reply, "X-Request-Id"));
+        if (!isComplete || reply.response.status != 200) {
             fmt::print("  {}\n", body);
             m_failed = true;
         }
     }
 
     std::string m_entry;
-    std::string m_other;
-    std::string m_key;
+    std::string m_otherEntry;
+    std::string m_issuedKey;
     HttpClient m_client;
     bool m_failed = false;
 };
--- a/src/load/load-requests.cc
+++ b/src/load/load-requests.cc
@@ -15,8 +15,8 @@
         .dump();
 }
 
-OutgoingRequest chat(const std::string &address, const std::string &token,
-                     const std::string &service, const std::string &body)
+OutgoingRequest chatRequest(const std::string &address, const std::string &token,
+                            const std::string &service, const std::string &body)
 {
     OutgoingRequest request;
     request.method = "POST";
@@ -29,9 +29,9 @@
     return request;
 }
 
-OutgoingRequest call(const std::string &address, const std::string &token,
-                     const std::string &method, const std::string &service, const std::string &key,
-                     const std::string &body)
+OutgoingRequest serviceRequest(const std::string &address, const std::string &token,
+                               const std::string &method, const std::string &service,
+                               const std::string &key, const std::string &body)
 {
     OutgoingRequest request;
     request.method = method;
@@ -43,9 +43,9 @@
     return request;
 }
 
-std::string field(const BufferedResponse &answer, const char *name)
+std::string headerValue(const BufferedResponse &reply, const char *name)
 {
-    return answer.response.headers.get(name).value_or("-");
+    return reply.response.headers.get(name).value_or("-");
 }
 
 double secondsSince(std::chrono::steady_clock::time_point start)
@@ -53,12 +53,12 @@
     return std::chrono::duration<double>(std::chrono::steady_clock::now() - start).count();
 }
 
-double quantile(std::vector<double> values, double part)
+double quantile(std::vector<double> values, double fraction)
 {
     if (values.empty())
         return 0;
     std::sort(values.begin(), values.end());
-    const auto at = static_cast<std::size_t>(part * static_cast<double>(values.size() - 1));
+    const auto at = static_cast<std::size_t>(fraction * static_cast<double>(values.size() - 1));
     return values[at];
 }
 
--- a/src/load/load-throughput.cc
+++ b/src/load/load-throughput.cc
@@ -1,4 +1,5 @@
-// Measured load through an entry instance against direct calls, and memory of open connections.
+// Measures the load through an entry instance against direct requests to a backend server, and the
+// memory that open connections take.
 #include <atomic>
 #include <condition_variable>
 #include <fstream>
@@ -21,15 +22,16 @@
 
 struct Sample
 {
-    double first = 0;
-    double total = 0;
-    bool good = false;
+    double firstByte = 0; // seconds until the first byte of the body
+    double total = 0; // seconds until the end of the response
+    bool isServed = false; // complete, with status 200
 };
 
 class TimingSink final : public ResponseSink
 {
 public:
-    explicit TimingSink(std::function<void(const Sample &)> done) : m_done(std::move(done)) { }
+    explicit TimingSink(std::function<void(const Sample &)> onDone)
+        : m_onDone(std::move(onDone)) { }
     bool onHead(int status, const Headers &) override
     {
         m_status = status;
@@ -37,30 +39,30 @@
     }
     bool onData(std::string_view) override
     {
-        if (m_sample.first == 0)
-            m_sample.first = secondsSince(m_start);
+        if (m_sample.firstByte == 0)
+            m_sample.firstByte = secondsSince(m_start);
         return true;
     }
     void onEnd(const TransferResult &result) override
     {
         m_sample.total = secondsSince(m_start);
-        m_sample.good = result.outcome == TransferOutcome::complete && m_status == 200;
-        m_done(m_sample);
+        m_sample.isServed = result.outcome == TransferOutcome::complete && m_status == 200;
+        m_onDone(m_sample);
     }
 
 private:
-    std::function<void(const Sample &)> m_done;
+    std::function<void(const Sample &)> m_onDone;
     std::chrono::steady_clock::time_point m_start = std::chrono::steady_clock::now();
     Sample m_sample;
     int m_status = 0;
 };
 
-// A closed loop: so many requests are always under way.
+// Keeps a constant number of requests in flight for a time.
 class ClosedLoop
 {
 public:
-    ClosedLoop(std::function<OutgoingRequest(int)> make, int concurrency, int seconds)
-        : m_make(std::move(make)), m_concurrency(concurrency), m_seconds(seconds)
+    ClosedLoop(std::function<OutgoingRequest(int)> makeRequest, int concurrency, int seconds)
+        : m_makeRequest(std::move(makeRequest)), m_concurrency(concurrency), m_seconds(seconds)
     {
     }
 
@@ -68,62 +70,62 @@
     {
         m_start = std::chrono::steady_clock::now();
         for (int i = 0; i < m_concurrency; ++i)
-            next(i);
+            sendNext(i);
         std::unique_lock lock(m_mutex);
-        m_over.wait(lock, [this] { return m_running == 0; });
+        m_finished.wait(lock, [this] { return m_running == 0; });
         return m_samples;
     }
 
 private:
-    void next(int lane)
+    void sendNext(int slot)
     {
         ++m_running;
-        m_clients[lane % 2].send(m_make(m_count++),
-                                 std::make_shared<TimingSink>([this, lane](const Sample &sample) {
-                                     onSample(lane, sample);
+        m_clients[slot % 2].send(m_makeRequest(m_count++),
+                                 std::make_shared<TimingSink>([this, slot](const Sample &sample) {
+                                     onSample(slot, sample);
                                  }));
     }
 
-    void onSample(int lane, const Sample &sample)
+    void onSample(int slot, const Sample &sample)
     {
-        const bool more = secondsSince(m_start) < m_seconds;
-        if (more)
-            next(lane);
+        const bool isTimeLeft = secondsSince(m_start) < m_seconds;
+        if (isTimeLeft)
+            sendNext(slot);
         const std::lock_guard lock(m_mutex);
         m_samples.push_back(sample);
         if (--m_running == 0)
-            m_over.notify_all();
+            m_finished.notify_all();
     }
 
-    std::function<OutgoingRequest(int)> m_make;
+    std::function<OutgoingRequest(int)> m_makeRequest;
     int m_concurrency;
     int m_seconds;
     std::chrono::steady_clock::time_point m_start;
     std::atomic<int> m_count = 0;
     std::atomic<int> m_running = 0;
     std::mutex m_mutex;
-    std::condition_variable m_over;
+    std::condition_variable m_finished;
     std::vector<Sample> m_samples;
     HttpClient m_clients[2];
 };
 
-void report(const std::string &name, const std::vector<Sample> &samples, double seconds)
+void printSamples(const std::string &name, const std::vector<Sample> &samples, double seconds)
 {
-    std::vector<double> first;
-    std::vector<double> total;
-    std::size_t good = 0;
+    std::vector<double> firstBytes;
+    std::vector<double> totals;
+    std::size_t served = 0;
     for (const Sample &sample : samples) {
-        if (!sample.good)
+        if (!sample.isServed)
             continue;
-        ++good;
-        first.push_back(sample.first * 1000);
-        total.push_back(sample.total * 1000);
+        ++served;
+        firstBytes.push_back(sample.firstByte * 1000);
+        totals.push_back(sample.total * 1000);
     }
-    fmt::print("{:<8} {:>7.0f} requests/s, {} of {} good, first byte 50/95/99% "
+    fmt::print("{:<8} {:>7.0f} requests/s, {} of {} served, first byte 50/95/99% "
                "{:.2f}/{:.2f}/{:.2f} ms, whole {:.2f}/{:.2f}/{:.2f} ms\n",
-               name, static_cast<double>(good) / seconds, good, samples.size(),
-               quantile(first, 0.5), quantile(first, 0.95), quantile(first, 0.99),
-               quantile(total, 0.5), quantile(total, 0.95), quantile(total, 0.99));
+               name, static_cast<double>(served) / seconds, served, samples.size(),
+               quantile(firstBytes, 0.5), quantile(firstBytes, 0.95), quantile(firstBytes, 0.99),
+               quantile(totals, 0.5), quantile(totals, 0.95), quantile(totals, 0.99));
 }
 
 long residentKb(int pid)
@@ -139,7 +141,7 @@
 
 } // namespace
 
-int runLoad(const Options &options)
+int measureThroughput(const Options &options)
 {
     const auto bodyOf = [&](int i) {
         return chatBody("note-1b", fmt::format("Prompt family {}.", i % 8),
@@ -147,39 +149,39 @@
     };
     const auto through = [&](int i) {
         if (options.kind == "lookup")
-            return call(options.entry, "arena-token", "GET", "status-read", "", "");
-        return chat(options.entry, "arena-token", "dressing-note", bodyOf(i));
+            return serviceRequest(options.entry, "arena-token", "GET", "status-read", "", "");
+        return chatRequest(options.entry, "arena-token", "dressing-note", bodyOf(i));
     };
     const auto direct = [&](int i) {
         if (options.kind != "lookup")
-            return chat(options.engine, "arena-token", "dressing-note", bodyOf(i));
+            return chatRequest(options.engine, "arena-token", "dressing-note", bodyOf(i));
         OutgoingRequest request;
         request.url = "http://" + options.engine + "/status";
         return request;
     };
-    // Both in one run, so that the machine's state is the same for both.
+    // Both are measured in one run, so that the state of the machine is the same.
     const auto directSamples = ClosedLoop(direct, options.concurrency, options.seconds).run();
     const auto throughSamples = ClosedLoop(through, options.concurrency, options.seconds).run();
-    report("direct", directSamples, options.seconds);
-    report("through", throughSamples, options.seconds);
-    const auto goodTotals = [](const std::vector<Sample> &samples) {
+    printSamples("direct", directSamples, options.seconds);
+    printSamples("through", throughSamples, options.seconds);
+    const auto servedTotals = [](const std::vector<Sample> &samples) {
         std::vector<double> totals;
         for (const Sample &sample : samples) {
-            if (sample.good)
+            if (sample.isServed)
                 totals.push_back(sample.total);
         }
         return totals;
     };
-    for (const double part : {0.5, 0.95, 0.99})
-        fmt::print("whole answer, {:.0f}%: through / direct = {:.2f}\n", part * 100,
-                   quantile(goodTotals(throughSamples), part)
-                       / quantile(goodTotals(directSamples), part));
+    for (const double fraction : {0.5, 0.95, 0.99})
+        fmt::print("whole response, {:.0f}%: through / direct = {:.2f}\n", fraction * 100,
+                   quantile(servedTotals(throughSamples), fraction)
+                       / quantile(servedTotals(directSamples), fraction));
     return 0;
 }
 
-// Opens connections that send nothing, or streams that are read slowly, and reports the memory of
-// the entry instance's process before and after.
-int holdOpen(const Options &options, bool streams)
+// Opens idle connections, or streams that are not read, and prints the memory of the entry
+// instance's process before and after.
+int measureConnectionMemory(const Options &options, bool streams)
 {
     const auto address = parseAddress(options.entry);
     if (!address.ok())
@@ -187,23 +189,23 @@
     asio::io_context io;
     const asio::ip::tcp::endpoint endpoint(asio::ip::make_address(address->host), address->port);
     const std::string body = chatBody("note-1b", "Hold this stream open.", true, 100000);
-    const std::string head
+    const std::string streamRequest
         = fmt::format("POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer "
                       "arena-token\r\nX-Request-Timeout-Ms: 20000\r\nContent-Length: {}\r\n\r\n{}",
                       body.size(), body);
-    const long before = residentKb(options.pid);
+    const long kbBefore = residentKb(options.pid);
     std::vector<asio::ip::tcp::socket> sockets;
     for (int i = 0; i < options.connections; ++i) {
         sockets.emplace_back(io);
         sockets.back().connect(endpoint);
         if (streams)
-            asio::write(sockets.back(), asio::buffer(head));
+            asio::write(sockets.back(), asio::buffer(streamRequest));
     }
     std::this_thread::sleep_for(std::chrono::seconds(2));
-    const long after = residentKb(options.pid);
+    const long kbAfter = residentKb(options.pid);
     fmt::print("{} {}: {} KB before, {} KB after, {:.2f} KB each\n", options.connections,
-               streams ? "open streams" : "idle connections", before, after,
-               static_cast<double>(after - before) / options.connections);
+               streams ? "open streams" : "idle connections", kbBefore, kbAfter,
+               static_cast<double>(kbAfter - kbBefore) / options.connections);
     return 0;
 }
 
