--- a/src/experiment/experiment.cc
+++ b/src/experiment/experiment.cc
@@ -21,28 +21,28 @@
 constexpr int regionCount = 3;
 constexpr int enginesPerRegion = 4;
 constexpr int entriesPerRegion = 3;
-constexpr int slots = 8;
-constexpr int cacheEntries = 24;
-constexpr int prefixes = 60;
-constexpr double coldPrompt = 0.30;
-constexpr double warmPrompt = 0.04;
-constexpr double decodeMean = 0.20;
-constexpr double oneWay = 0.08;
-constexpr double reportPeriod = 0.5;
-constexpr double reportLag = 0.3;
-constexpr double simulated = 60;
-constexpr double warmUp = 10;
-constexpr double lossAt = 25;
-constexpr double returnAt = 35;
-constexpr double demandShares[regionCount] = {0.5, 0.3, 0.2};
-
-struct Call
+constexpr int slotsPerEngine = 8;
+constexpr int cachedPrefixesPerEngine = 24;
+constexpr int prefixesPerRegion = 60; // distinct prompt prefixes
+constexpr double coldPromptSeconds = 0.30;
+constexpr double warmPromptSeconds = 0.04;
+constexpr double meanDecodeSeconds = 0.20;
+constexpr double oneWayDelaySeconds = 0.08;
+constexpr double reportPeriodSeconds = 0.5;
+constexpr double meanReportDelaySeconds = 0.3;
+constexpr double simulatedSeconds = 60;
+constexpr double warmUpSeconds = 10;
+constexpr double failureAtSeconds = 25;
+constexpr double restartAtSeconds = 35;
+constexpr double demandShareOfRegion[regionCount] = {0.5, 0.3, 0.2};
+
+struct Request
 {
-    int home = 0;
+    int homeRegion = 0;
     int region = 0;
     int entry = 0;
     std::uint64_t prefix = 0;
-    double arrived = 0;
+    double arrived = 0; // in seconds of simulated time, as the deadline
     double deadline = 0;
     double worth = 1;
     const Service *service = nullptr;
@@ -51,39 +51,40 @@
     std::shared_ptr<ServerCounters> counters;
 };
 
-using CallPtr = std::shared_ptr<Call>;
+using RequestPtr = std::shared_ptr<Request>;
 
-TimePoint at(double seconds)
+TimePoint toTimePoint(double seconds)
 {
     return TimePoint(std::chrono::hours(1))
         + std::chrono::duration_cast<Duration>(std::chrono::duration<double>(seconds));
 }
 
-// Slots, a queue and a cache of prompt prefixes.
+// A model engine with slots, a queue and a cache of prompt prefixes.
 struct Engine
 {
     std::string name;
     double cost = 1;
     int running = 0;
-    std::deque<CallPtr> queue;
+    std::deque<RequestPtr> queue;
     std::list<std::uint64_t> cache;
-    bool lost = false;
+    bool hasFailed = false;
     std::uint64_t incarnation = 1;
 
-    bool warm(std::uint64_t prefix)
+    // Returns whether the prefix is cached, and adds it to the cache.
+    bool usePrefix(std::uint64_t prefix)
     {
         const auto found = std::find(cache.begin(), cache.end(), prefix);
-        const bool hit = found != cache.end();
-        if (hit)
+        const bool isCached = found != cache.end();
+        if (isCached)
             cache.erase(found);
         cache.push_front(prefix);
-        if (cache.size() > cacheEntries)
+        if (cache.size() > cachedPrefixesPerEngine)
             cache.pop_back();
-        return hit;
+        return isCached;
     }
 };
 
-// One entry instance: what it knows and decides.
+// An entry instance with the state that its decisions are based on.
 struct Entry
 {
     ServerTable servers{ServerTable::Limits{}};
@@ -116,30 +117,32 @@
 public:
     explicit Experiment(const Setup &setup) : m_setup(setup), m_random(m_setup.seed)
     {
-        for (Service *service : {&m_plain, &m_valuable}) {
+        for (Service *service : {&m_plainService, &m_valuableService}) {
             service->model = "m";
             service->expectedDuration = std::chrono::milliseconds(400);
         }
-        m_plain.name = "plain";
-        m_valuable.name = "valuable";
-        m_valuable.worth = 10;
+        m_plainService.name = "plain";
+        m_valuableService.name = "valuable";
+        m_valuableService.worth = 10;
         for (int r = 0; r < regionCount; ++r)
             addRegion(r);
     }
 
     Outcome run()
     {
-        const double perRequest = decodeMean + (coldPrompt + warmPrompt) / 2;
-        m_rate = m_setup.load * regionCount * enginesPerRegion * slots / perRequest;
-        plan(0, [this] { arrive(); });
-        plan(0, [this] { report(); });
-        if (m_setup.loseRegion)
-            plan(lossAt, [this] { loseRegion(); });
-        if (m_setup.returnEngines) {
-            plan(lossAt, [this] { loseEngines(true); });
-            plan(returnAt, [this] { loseEngines(false); });
+        const double secondsPerRequest
+            = meanDecodeSeconds + (coldPromptSeconds + warmPromptSeconds) / 2;
+        m_arrivalsPerSecond
+            = m_setup.load * regionCount * enginesPerRegion * slotsPerEngine / secondsPerRequest;
+        schedule(0, [this] { onArrival(); });
+        schedule(0, [this] { sendReports(); });
+        if (m_setup.failRegion)
+            schedule(failureAtSeconds, [this] { failRegion(); });
+        if (m_setup.restartEngines) {
+            schedule(failureAtSeconds, [this] { setEnginesFailed(true); });
+            schedule(restartAtSeconds, [this] { setEnginesFailed(false); });
         }
-        while (!m_events.empty() && m_events.top().time < simulated) {
+        while (!m_events.empty() && m_events.top().time < simulatedSeconds) {
             const Event event = m_events.top();
             m_events.pop();
             m_now = event.time;
@@ -160,9 +163,9 @@
         }
     };
 
-    void plan(double delay, std::function<void()> run)
+    void schedule(double delay, std::function<void()> run)
     {
-        m_events.push({m_now + delay, m_order++, std::move(run)});
+        m_events.push({m_now + delay, m_nextEventOrder++, std::move(run)});
     }
 
     static std::string regionName(int region) { return std::string(1, char('a' + region)); }
@@ -178,7 +181,7 @@
             BackendServer server;
             server.name = regionName(region) + std::to_string(e);
             server.models = {"m"};
-            server.slots = slots;
+            server.slots = slotsPerEngine;
             server.cost = 1 + 0.25 * e;
             config->servers.emplace(server.name, server);
             Engine engine;
@@ -195,153 +198,158 @@
         }
     }
 
-    // A skewed choice among the region's prompt prefixes.
+    // Returns one of the region's prompt prefixes; those with low indexes are more likely.
     std::uint64_t drawPrefix(int region)
     {
         const double u = m_random.uniform();
-        const int index = static_cast<int>(prefixes * u * u);
-        return 1 + static_cast<std::uint64_t>(region * prefixes + index) * 7919;
+        const int index = static_cast<int>(prefixesPerRegion * u * u);
+        return 1 + static_cast<std::uint64_t>(region * prefixesPerRegion + index) * 7919;
     }
 
-    void arrive()
+    void onArrival()
     {
-        plan(-std::log(1 - m_random.uniform()) / m_rate, [this] { arrive(); });
-        auto call = std::make_shared<Call>();
+        schedule(-std::log(1 - m_random.uniform()) / m_arrivalsPerSecond, [this] { onArrival(); });
+        auto request = std::make_shared<Request>();
         const double u = m_random.uniform();
-        call->home = u < demandShares[0] ? 0 : u < demandShares[0] + demandShares[1] ? 1 : 2;
-        call->entry = static_cast<int>(m_random.below(entriesPerRegion));
-        call->prefix = drawPrefix(call->home);
-        call->arrived = m_now;
-        call->deadline = m_now + 3;
-        call->service = m_random.uniform() < 0.2 ? &m_valuable : &m_plain;
-        call->worth = call->service->worth;
-        if (m_now > warmUp) {
+        request->homeRegion = u < demandShareOfRegion[0]          ? 0
+            : u < demandShareOfRegion[0] + demandShareOfRegion[1] ? 1
+                                                                  : 2;
+        request->entry = static_cast<int>(m_random.below(entriesPerRegion));
+        request->prefix = drawPrefix(request->homeRegion);
+        request->arrived = m_now;
+        request->deadline = m_now + 3;
+        request->service = m_random.uniform() < 0.2 ? &m_valuableService : &m_plainService;
+        request->worth = request->service->worth;
+        if (m_now > warmUpSeconds) {
             ++m_outcome.arrived;
-            m_outcome.worth += call->worth;
+            m_outcome.worth += request->worth;
         }
-        // A caller whose region is lost is told of entry instances elsewhere.
-        if (m_setup.loseRegion && m_now > lossAt && call->home == 0)
-            call->home = 1 + static_cast<int>(m_random.below(regionCount - 1));
-        decide(call, call->home, true);
+        // Callers of the failed region use entry instances of the other regions.
+        if (m_setup.failRegion && m_now > failureAtSeconds && request->homeRegion == 0)
+            request->homeRegion = 1 + static_cast<int>(m_random.below(regionCount - 1));
+        decide(request, request->homeRegion, true);
     }
 
-    void decide(const CallPtr &call, int region, bool mayForward)
+    void decide(const RequestPtr &request, int region, bool mayForward)
     {
-        Entry &entry = *m_entries[region][call->entry];
-        const TimePoint now = at(m_now);
-        const auto candidates = candidatesForService(entry.table, *call->service, {});
+        Entry &entry = *m_entries[region][request->entry];
+        const TimePoint now = toTimePoint(m_now);
+        const auto candidates = candidatesForService(entry.table, *request->service, {});
         RegionChoiceInput input;
         input.localRegion = regionName(region);
         input.allowed = {"a", "b", "c"};
         input.reachable = {"a", "b", "c"};
-        if (m_setup.loseRegion && m_now > lossAt)
+        if (m_setup.failRegion && m_now > failureAtSeconds)
             input.reachable = {"b", "c"};
-        input.service = call->service;
-        input.loadKey = call->service->name;
+        input.service = request->service;
+        input.loadKey = request->service->name;
         input.localLoad = summarizeLoad(input.localRegion, input.loadKey, candidates);
         input.weights = m_setup.weights;
         input.oneWayDelay = std::chrono::milliseconds(80);
-        const Spreading spreading = m_setup.policy.spreading;
-        input.awayMargin = std::chrono::milliseconds(spreading == Spreading::eager ? 0 : 200);
-        input.canForward = mayForward && spreading != Spreading::home;
-        input.localRejects = !admitted(entry, *call, input.localLoad);
-        const RegionDecision answer = entry.chooser.choose(input, entry.regions, now, m_random);
-        if (!answer.region || candidates.empty())
-            return refuse(*call);
-        if (*answer.region != input.localRegion) {
-            entry.regions.onForwarded(*answer.region, call->service->name);
-            const int to = (*answer.region)[0] - 'a';
-            plan(oneWay, [this, call, to] { decide(call, to, false); });
+        const Forwarding forwarding = m_setup.policy.forwarding;
+        input.awayMargin
+            = std::chrono::milliseconds(forwarding == Forwarding::withoutMargin ? 0 : 200);
+        input.canForward = mayForward && forwarding != Forwarding::never;
+        input.localRejects = !isAdmitted(entry, *request, input.localLoad);
+        const RegionDecision decision = entry.chooser.choose(input, entry.regions, now, m_random);
+        if (!decision.region || candidates.empty())
+            return recordRejected(*request);
+        if (*decision.region != input.localRegion) {
+            entry.regions.onForwarded(*decision.region, request->service->name);
+            const int to = (*decision.region)[0] - 'a';
+            schedule(oneWayDelaySeconds, [this, request, to] { decide(request, to, false); });
             return;
         }
-        if (!admitted(entry, *call, input.localLoad))
-            return refuse(*call);
-        dispatch(entry, call, region, candidates);
+        if (!isAdmitted(entry, *request, input.localLoad))
+            return recordRejected(*request);
+        dispatch(entry, request, region, candidates);
     }
 
-    bool admitted(Entry &entry, const Call &call, const RegionLoad &load)
+    bool isAdmitted(Entry &entry, const Request &request, const RegionLoad &load)
     {
         if (!m_setup.policy.admission)
             return true;
         AdmissionInput input;
         input.customer = &m_customer;
-        input.service = call.service;
-        input.priority = call.service->priority;
-        input.maxWorth = m_setup.policy.byWorth ? m_valuable.worth : 0;
+        input.service = request.service;
+        input.priority = request.service->priority;
+        input.maxWorth = m_setup.policy.byWorth ? m_valuableService.worth : 0;
         input.slots = load.slots;
         input.outstanding = load.outstanding;
         input.queueFactor = 4;
         input.lateIsUndelivered = m_setup.weights.lateIsUndelivered;
         input.remaining = std::chrono::duration_cast<Duration>(
-            std::chrono::duration<double>(call.deadline - m_now));
+            std::chrono::duration<double>(request.deadline - m_now));
         return entry.admission.decide(input, m_random).code == ResultCode::served;
     }
 
-    void refuse(const Call &call)
+    void recordRejected(const Request &request)
     {
-        if (call.arrived > warmUp)
-            ++m_outcome.refused;
+        if (request.arrived > warmUpSeconds)
+            ++m_outcome.rejected;
     }
 
-    void dispatch(Entry &entry, const CallPtr &call, int region,
+    void dispatch(Entry &entry, const RequestPtr &request, int region,
                   const std::vector<Candidate> &candidates)
     {
         PickInput input;
         input.candidates = candidates;
-        input.prefixHash = call->prefix;
+        input.prefixHash = request->prefix;
         input.weights = m_setup.weights;
         input.expectedSeconds = 0.4;
-        const Candidate &chosen = candidates[entry.picker->pick(input, m_random)];
-        call->region = region;
-        call->engine = chosen.view->server.name[1] - '0';
-        call->counters = chosen.view->counters;
-        ++call->counters->inFlight;
-        ++call->counters->sentSinceReport;
-        m_engines[region][call->engine].queue.push_back(call);
-        startNext(region, call->engine);
+        const Candidate &picked = candidates[entry.picker->pick(input, m_random)];
+        request->region = region;
+        request->engine = picked.view->server.name[1] - '0';
+        request->counters = picked.view->counters;
+        ++request->counters->inFlight;
+        ++request->counters->sentSinceReport;
+        m_engines[region][request->engine].queue.push_back(request);
+        startNext(region, request->engine);
     }
 
     void startNext(int region, int index)
     {
         Engine &engine = m_engines[region][index];
-        while (!engine.lost && engine.running < slots && !engine.queue.empty()) {
-            const CallPtr call = engine.queue.front();
+        while (!engine.hasFailed && engine.running < slotsPerEngine && !engine.queue.empty()) {
+            const RequestPtr request = engine.queue.front();
             engine.queue.pop_front();
             ++engine.running;
-            call->incarnation = engine.incarnation;
-            const double prompt = engine.warm(call->prefix) ? warmPrompt : coldPrompt;
-            const double time = prompt + decodeMean * (0.5 + m_random.uniform());
-            plan(time, [this, call, time] { finish(call, time); });
+            request->incarnation = engine.incarnation;
+            const double prompt
+                = engine.usePrefix(request->prefix) ? warmPromptSeconds : coldPromptSeconds;
+            const double time = prompt + meanDecodeSeconds * (0.5 + m_random.uniform());
+            schedule(time, [this, request, time] { onRequestFinished(request, time); });
         }
     }
 
-    void finish(const CallPtr &call, double time)
+    void onRequestFinished(const RequestPtr &request, double time)
     {
-        Engine &engine = m_engines[call->region][call->engine];
-        if (call->incarnation != engine.incarnation) {
-            --call->counters->inFlight;
+        Engine &engine = m_engines[request->region][request->engine];
+        if (request->incarnation != engine.incarnation) {
+            --request->counters->inFlight;
             return;
         }
         --engine.running;
-        --call->counters->inFlight;
-        ++call->counters->endedSinceReport;
-        startNext(call->region, call->engine);
-        if (engine.lost || call->arrived < warmUp)
+        --request->counters->inFlight;
+        ++request->counters->endedSinceReport;
+        startNext(request->region, request->engine);
+        if (engine.hasFailed || request->arrived < warmUpSeconds)
             return;
-        const bool away = call->region != call->home;
-        const double latency = m_now - call->arrived + (away ? oneWay : 0);
+        const bool isRemote = request->region != request->homeRegion;
+        const double latency = m_now - request->arrived + (isRemote ? oneWayDelaySeconds : 0);
         m_outcome.latencies.push_back(latency);
         ++m_outcome.served;
-        m_outcome.away += away ? 1 : 0;
+        m_outcome.servedRemotely += isRemote ? 1 : 0;
         m_outcome.cost += time * engine.cost;
-        if (call->arrived + latency <= call->deadline)
-            m_outcome.worthInTime += call->worth;
+        if (request->arrived + latency <= request->deadline)
+            m_outcome.worthInTime += request->worth;
     }
 
-    // Each engine's load reaches the entry instances of its region late, and summaries the others.
-    void report()
+    // Sends the load of each engine to the entry instances of its region, with a delay. Summaries
+    // go on to the other regions.
+    void sendReports()
     {
-        plan(reportPeriod, [this] { report(); });
+        schedule(reportPeriodSeconds, [this] { sendReports(); });
         for (int r = 0; r < regionCount; ++r) {
             for (const Engine &engine : m_engines[r]) {
                 LoadReport load;
@@ -349,9 +357,9 @@
                 load.incarnation = engine.incarnation;
                 load.running = static_cast<std::uint32_t>(engine.running);
                 load.waiting = static_cast<std::uint32_t>(engine.queue.size());
-                load.reachable = !engine.lost;
-                const double lag = reportLag * (0.5 + m_random.uniform());
-                plan(lag, [this, r, load] { deliverReport(r, load); });
+                load.reachable = !engine.hasFailed;
+                const double delay = meanReportDelaySeconds * (0.5 + m_random.uniform());
+                schedule(delay, [this, r, load] { deliverReport(r, load); });
             }
         }
     }
@@ -359,32 +367,33 @@
     void deliverReport(int region, const LoadReport &load)
     {
         for (const auto &entry : m_entries[region]) {
-            entry->servers.onReport(load, at(m_now));
-            entry->table = entry->servers.routingTable(at(m_now));
+            entry->servers.onReport(load, toTimePoint(m_now));
+            entry->table = entry->servers.routingTable(toTimePoint(m_now));
         }
-        const auto candidates = candidatesForService(m_entries[region][0]->table, m_plain, {});
-        for (const Service *service : {&m_plain, &m_valuable})
-            publish(region, summarizeLoad(regionName(region), service->name, candidates));
+        const auto candidates
+            = candidatesForService(m_entries[region][0]->table, m_plainService, {});
+        for (const Service *service : {&m_plainService, &m_valuableService})
+            sendSummary(region, summarizeLoad(regionName(region), service->name, candidates));
     }
 
-    void publish(int region, const RegionLoad &summary)
+    void sendSummary(int region, const RegionLoad &summary)
     {
-        plan(oneWay, [this, region, summary] {
+        schedule(oneWayDelaySeconds, [this, region, summary] {
             for (int r = 0; r < regionCount; ++r) {
                 for (const auto &entry : m_entries[r]) {
                     if (r != region)
-                        entry->regions.onLoad(summary, at(m_now));
+                        entry->regions.onLoad(summary, toTimePoint(m_now));
                 }
             }
         });
     }
 
-    // Half of each region's engines are gone for a while and come back with cold caches.
-    void loseEngines(bool lost)
+    // Fails half of each region's engines, or restarts them with cold caches.
+    void setEnginesFailed(bool hasFailed)
     {
         for (auto &engines : m_engines) {
             for (int e = 0; e < enginesPerRegion / 2; ++e) {
-                engines[e].lost = lost;
+                engines[e].hasFailed = hasFailed;
                 engines[e].queue.clear();
                 engines[e].cache.clear();
                 engines[e].running = 0;
@@ -393,25 +402,25 @@
         }
     }
 
-    void loseRegion()
+    void failRegion()
     {
         for (Engine &engine : m_engines[0]) {
-            engine.lost = true;
+            engine.hasFailed = true;
             engine.queue.clear();
         }
     }
 
     Setup m_setup;
     Random m_random;
-    Service m_plain;
-    Service m_valuable;
+    Service m_plainService;
+    Service m_valuableService;
     Customer m_customer{"c", {}, {}, {}, 1, {}, {}, false};
     std::vector<Engine> m_engines[regionCount];
     std::vector<std::unique_ptr<Entry>> m_entries[regionCount];
     std::priority_queue<Event> m_events;
-    std::uint64_t m_order = 0;
+    std::uint64_t m_nextEventOrder = 0;
     double m_now = 0;
-    double m_rate = 0;
+    double m_arrivalsPerSecond = 0;
     Outcome m_outcome;
 };
 
--- a/src/experiment/experiment.h
+++ b/src/experiment/experiment.h
@@ -1,4 +1,4 @@
-// One run of made-up arrivals through the decision libraries.
+// Simulates a fleet with random arrivals. The entry instances use the decision libraries.
 #pragma once
 
 #include <cstdint>
@@ -9,51 +9,53 @@
 namespace ibisnotch {
 
 enum class Pick { random, roundRobin, leastReported, twoChoices, affinity };
-enum class Spreading { home, eager, margin };
+// When requests are forwarded to another region: never, whenever that region is expected to be
+// faster, or only when it is faster by a margin.
+enum class Forwarding { never, withoutMargin, withMargin };
 
-// What differs between the rows; all else is the same for all of them.
+// One row of the comparison. Everything else is the same for all rows.
 struct Policy
 {
     const char *name = "";
     Pick pick = Pick::affinity;
-    Spreading spreading = Spreading::margin;
+    Forwarding forwarding = Forwarding::withMargin;
     bool admission = true;
-    bool byWorth = true;
+    bool byWorth = true; // whether admission takes the worth of a request into account
 };
 
 inline constexpr Policy policies[] = {
-    {"current", Pick::affinity, Spreading::margin, true},
-    {"pick: random", Pick::random, Spreading::margin, true},
-    {"pick: round robin", Pick::roundRobin, Spreading::margin, true},
-    {"pick: least reported", Pick::leastReported, Spreading::margin, true},
-    {"pick: two choices", Pick::twoChoices, Spreading::margin, true},
-    {"regions: home only", Pick::affinity, Spreading::home, true},
-    {"regions: no margin", Pick::affinity, Spreading::eager, true},
-    {"admission: no worth", Pick::affinity, Spreading::margin, true, false},
-    {"no admission", Pick::affinity, Spreading::margin, false},
-    {"simplest", Pick::leastReported, Spreading::eager, false},
+    {"current", Pick::affinity, Forwarding::withMargin, true},
+    {"pick: random", Pick::random, Forwarding::withMargin, true},
+    {"pick: round robin", Pick::roundRobin, Forwarding::withMargin, true},
+    {"pick: least reported", Pick::leastReported, Forwarding::withMargin, true},
+    {"pick: two choices", Pick::twoChoices, Forwarding::withMargin, true},
+    {"regions: home only", Pick::affinity, Forwarding::never, true},
+    {"regions: no margin", Pick::affinity, Forwarding::withoutMargin, true},
+    {"admission: no worth", Pick::affinity, Forwarding::withMargin, true, false},
+    {"no admission", Pick::affinity, Forwarding::withMargin, false},
+    {"simplest", Pick::leastReported, Forwarding::withoutMargin, false},
 };
 
 struct Setup
 {
     Policy policy;
     Weights weights;
-    double load = 1;
-    bool loseRegion = false;
-    bool returnEngines = false;
+    double load = 1; // demand divided by the capacity of all regions
+    bool failRegion = false; // the first region fails during the run
+    bool restartEngines = false; // half of the engines fail and come back with cold caches
     std::uint64_t seed = 1;
 };
 
 struct Outcome
 {
-    std::vector<double> latencies;
+    std::vector<double> latencies; // in seconds
     int arrived = 0;
     int served = 0;
-    int refused = 0;
-    int away = 0;
-    double cost = 0;
-    double worth = 0;
-    double worthInTime = 0;
+    int rejected = 0;
+    int servedRemotely = 0; // by an engine of another region
+    double cost = 0; // engine time in seconds, weighted by the engine's cost
+    double worth = 0; // of all requests that arrived
+    double worthInTime = 0; // of the requests served before their deadlines
 };
 
 Outcome runExperiment(const Setup &setup);
