--- a/src/ibisnotch-slopes.cc
+++ b/src/ibisnotch-slopes.cc
@@ -1,6 +1,6 @@
-// Measures how the cost of the control parts grows with their size, for docs/CAPACITY.md: members,
-// load entries of backend servers, configuration, claim pages. Prints processor time, bytes and
-// memory at several sizes; the slopes are worked out in the page.
+// Measures how the cost of membership, load reports, configuration and claim pages grows with their
+// size. Prints processor time, bytes and memory at several sizes; docs/CAPACITY.md derives the
+// growth per unit from them.
 #include <ctime>
 #include <malloc.h>
 
@@ -32,14 +32,15 @@
     return static_cast<double>(time.tv_sec) * 1e6 + static_cast<double>(time.tv_nsec) / 1e3;
 }
 
-// Mean processor time of one call, over enough calls to be steady.
-double costOf(const std::function<void()> &call)
+// Returns the mean processor time of a call in microseconds. Repeats the call for 0.2 s of
+// processor time, so that the mean is stable.
+double meanMicroseconds(const std::function<void()> &call)
 {
-    constexpr double enough = 200'000;
+    constexpr double minMicroseconds = 200'000;
     int calls = 0;
     const double start = processorMicroseconds();
     double now = start;
-    while (now - start < enough) {
+    while (now - start < minMicroseconds) {
         call();
         ++calls;
         now = processorMicroseconds();
@@ -67,8 +68,8 @@
 
 void measureMembers()
 {
-    fmt::print("members | us a period (tick, one ping, one ack) | bytes of a probe, quiet | bytes "
-               "with 8 news | heap KB\n");
+    fmt::print("members | us per period (ticks, one ping, one ack) | bytes of a probe | bytes "
+               "with 8 updates | heap KB\n");
     for (const int size : {9, 100, 500, 1700, 3400}) {
         const std::size_t before = heapBytes();
         Membership node(makeMember(0), {}, {});
@@ -77,15 +78,15 @@
         for (int i = 1; i < size; ++i)
             node.applyUpdate(makeMember(i), now);
         const std::size_t heap = heapBytes() - before;
-        GossipMessage newsy;
-        newsy.probe = node.broadcast(1, random).at(0).probe;
-        // Run until the news of the start is spread.
+        GossipMessage withUpdates;
+        withUpdates.probe = node.broadcast(1, random).at(0).probe;
+        // Each update is sent a limited number of times. Probes without updates remain afterwards.
         for (int i = 0; i < 3 * size; ++i)
             node.broadcast(1, random);
-        GossipMessage quiet;
-        quiet.probe = node.broadcast(1, random).at(0).probe;
-        const std::string bytes = encodeGossip(quiet);
-        const double cost = costOf([&] {
+        GossipMessage withoutUpdates;
+        withoutUpdates.probe = node.broadcast(1, random).at(0).probe;
+        const std::string bytes = encodeGossip(withoutUpdates);
+        const double cost = meanMicroseconds([&] {
             now += std::chrono::milliseconds(100);
             for (int tick = 0; tick < 10; ++tick)
                 node.tick(now, random);
@@ -99,15 +100,14 @@
             }
         });
         fmt::print("{:7} | {:8.1f} | {} | {} | {}\n", size, cost, bytes.size(),
-                   encodeGossip(newsy).size(), heap / 1024);
+                   encodeGossip(withUpdates).size(), heap / 1024);
     }
 }
 
 void measureLoads()
 {
-    fmt::print(
-        "servers of a region | us a report taken in | us a routing table built | us a choice "
-        "of server | bytes a report | heap KB\n");
+    fmt::print("servers of a region | us per report | us per routing table | us per selection "
+               "of a server | bytes per report | heap KB\n");
     for (const int size : {5, 50, 230, 600, 1200}) {
         const std::size_t before = heapBytes();
         auto config = std::make_shared<FleetConfig>();
@@ -123,19 +123,19 @@
         const auto routing = std::make_shared<const RoutingTable>(table.routingTable(now));
         const std::size_t heap = heapBytes() - before;
         std::uint64_t next = 0;
-        const double reportCost = costOf([&] {
+        const double reportCost = meanMicroseconds([&] {
             LoadReport report;
             report.server = fmt::format("engine-{:05}", next++ % static_cast<std::uint64_t>(size));
             report.incarnation = 7;
             now += std::chrono::microseconds(10);
             table.onReport(report, now);
         });
-        const double tableCost = costOf([&] { table.routingTable(now); });
+        const double tableCost = meanMicroseconds([&] { table.routingTable(now); });
         Service service;
         service.model = "model-0";
         Random random(1);
         AffinityPicker picker;
-        const double pickCost = costOf([&] {
+        const double pickCost = meanMicroseconds([&] {
             const auto candidates = candidatesForService(*routing, service, {});
             PickInput input;
             input.candidates = candidates;
@@ -144,13 +144,13 @@
         });
         std::size_t cursor = 0;
         GossipMessage empty;
-        GossipMessage loaded;
-        loaded.loads = table.reports(now, 20, cursor);
-        const double perReport
-            = static_cast<double>(encodeGossip(loaded).size() - encodeGossip(empty).size())
-            / static_cast<double>(std::max<std::size_t>(1, loaded.loads.size()));
+        GossipMessage withLoads;
+        withLoads.loads = table.reports(now, 20, cursor);
+        const double bytesPerReport
+            = static_cast<double>(encodeGossip(withLoads).size() - encodeGossip(empty).size())
+            / static_cast<double>(std::max<std::size_t>(1, withLoads.loads.size()));
         fmt::print("{:7} | {:7.2f} | {:8.1f} | {:7.2f} | {:.1f} | {}\n", size, reportCost,
-                   tableCost, pickCost, perReport, heap / 1024);
+                   tableCost, pickCost, bytesPerReport, heap / 1024);
     }
 }
 
@@ -190,9 +190,9 @@
         int customers;
         int servers;
     };
-    fmt::print("sites, customers, servers a site | KB of the document | bytes of a delta's text "
+    fmt::print("sites, customers, servers per site | KB of the document | bytes of a delta's text "
                "(one line) "
-               "| ms to take a version in | ms to check all sites | heap KB of one instance\n");
+               "| ms to apply a version | ms to validate all sites | heap KB of one instance\n");
     for (const Size size :
          {Size{3, 10, 5}, Size{6, 60, 60}, Size{12, 120, 120}, Size{19, 230, 230}}) {
         const ConfigDocument document = makeDocument(size.sites, size.customers, size.servers);
@@ -200,16 +200,17 @@
         changed.version = 2;
         changed.overlays["r0"].text += "# changed\n";
         const std::size_t before = heapBytes();
-        ActiveConfig gate("r0");
-        gate.apply(document);
+        ActiveConfig activeConfig("r0");
+        activeConfig.apply(document);
         const std::size_t heap = heapBytes() - before;
         std::uint64_t version = 1;
-        const double take = costOf([&] {
+        const double applyCost = meanMicroseconds([&] {
             ConfigDocument next = changed;
             next.version = ++version;
-            gate.apply(next);
+            activeConfig.apply(next);
         });
-        const double check = costOf([&] { (void)validateDocument(document, nullptr).ok(); });
+        const double validationCost
+            = meanMicroseconds([&] { (void)validateDocument(document, nullptr).ok(); });
         const ConfigDelta delta = makeDelta(&document, changed);
         std::size_t deltaBytes = delta.base.replacement.size();
         for (const auto &[site, file] : delta.changedOverlays)
@@ -217,13 +218,13 @@
         fmt::print("{:2}, {:3}, {:3} | {:7.1f} | {} | {:7.2f} | {:7.1f} | {}\n", size.sites,
                    size.customers, size.servers,
                    static_cast<double>(serializeDocument(document).size()) / 1024, deltaBytes,
-                   take / 1000, check / 1000, heap / 1024);
+                   applyCost / 1000, validationCost / 1000, heap / 1024);
     }
 }
 
 void measureClaims()
 {
-    fmt::print("claims a page | KB of the page | us to parse | us to write one claim\n");
+    fmt::print("claims per page | KB of the page | us to parse | us to write one claim\n");
     for (const int size : {100, 1000, 4000, 7000}) {
         ClaimPage page;
         Random random(1);
@@ -231,8 +232,8 @@
             page[claimId("customer", std::to_string(i))]
                 = {random.next(), claimId("body", std::to_string(i)), ClaimState::done, 200};
         const std::string text = serializeClaimPage(page);
-        const double parse = costOf([&] { (void)parseClaimPage(text).ok(); });
-        const double write = costOf([&] {
+        const double parseCost = meanMicroseconds([&] { (void)parseClaimPage(text).ok(); });
+        const double writeCost = meanMicroseconds([&] {
             ClaimPageWriter writer;
             writer.claim({1, "new", "body", TimePoint(std::chrono::hours(1))});
             writer.advance(TimePoint());
@@ -240,22 +241,23 @@
             writer.advance(TimePoint());
         });
         fmt::print("{:6} | {:7.1f} | {:8.0f} | {:8.0f}\n", size,
-                   static_cast<double>(text.size()) / 1024, parse, write);
+                   static_cast<double>(text.size()) / 1024, parseCost, writeCost);
     }
 }
 
-// One change spreads over a fleet: an instance that takes it in tells a few others at once, each of
-// which pulls it. Uses the membership's own choice of whom to tell.
-class SpreadOfAChange
+// Simulates how a configuration change reaches a fleet: each instance that applies the change
+// announces it to a few others, and each of them requests it. Membership::broadcast() selects the
+// receivers.
+class BroadcastSimulation
 {
 public:
-    explicit SpreadOfAChange(int size) : m_random(static_cast<std::uint64_t>(size))
+    explicit BroadcastSimulation(int size) : m_random(static_cast<std::uint64_t>(size))
     {
         const TimePoint now{std::chrono::hours(1)};
         for (int i = 0; i < size; ++i) {
             m_nodes.push_back(std::make_unique<Membership>(
                 makeMember(i), std::vector<std::string>{}, MembershipSettings{}));
-            m_numbers[makeMember(i).gossipAddress] = i;
+            m_indexOfAddress[makeMember(i).gossipAddress] = i;
         }
         for (int i = 0; i < size; ++i) {
             for (int j = 0; j < size; ++j) {
@@ -263,64 +265,66 @@
                     m_nodes[i]->applyUpdate(makeMember(j), now);
             }
         }
-        m_has.assign(size, false);
+        m_hasChange.assign(size, false);
     }
 
     void run()
     {
-        takeIn(0, 0);
+        applyChange(0, 0);
         while (!m_events.empty()) {
             const auto [time, node] = m_events.top();
             m_events.pop();
-            if (!m_has[node])
-                takeIn(node, time);
+            if (!m_hasChange[node])
+                applyChange(node, time);
         }
-        fmt::print("{:7} | {:.0f} | {} | {:.2f}\n", m_has.size(), m_last * 1000, m_reached,
-                   static_cast<double>(m_messages) / static_cast<double>(m_has.size()));
+        fmt::print("{:7} | {:.0f} | {} | {:.2f}\n", m_hasChange.size(), m_lastAppliedAt * 1000,
+                   m_membersReached,
+                   static_cast<double>(m_messageCount) / static_cast<double>(m_hasChange.size()));
     }
 
 private:
-    void takeIn(int node, double time)
+    void applyChange(int node, double time)
     {
-        constexpr double takeInTime = 0.011; // measured above at the letter's size
+        // The time to apply a version that measureConfig() measures at the required fleet size.
+        constexpr double applySeconds = 0.011;
         constexpr int fanout = 4;
-        m_has[node] = true;
-        ++m_reached;
-        m_last = std::max(m_last, time);
+        m_hasChange[node] = true;
+        ++m_membersReached;
+        m_lastAppliedAt = std::max(m_lastAppliedAt, time);
         for (const OutgoingProbe &probe : m_nodes[node]->broadcast(fanout, m_random)) {
-            const int to = m_numbers.at(probe.address);
-            const bool sameRegion = to % 19 == node % 19;
-            const double way = sameRegion ? 0.004 : 0.08;
-            ++m_messages;
-            // The news, the pull and its answer.
-            m_events.push({time + 3 * way + takeInTime, to});
+            const int receiver = m_indexOfAddress.at(probe.address);
+            const bool isSameRegion = receiver % 19 == node % 19;
+            const double oneWayDelaySeconds = isSameRegion ? 0.004 : 0.08;
+            ++m_messageCount;
+            // Three one-way delays: the announcement, the request and its response.
+            m_events.push({time + 3 * oneWayDelaySeconds + applySeconds, receiver});
         }
     }
 
-    using Event = std::pair<double, int>;
+    using Event = std::pair<double, int>; // time in seconds and index of the receiver
     Random m_random;
     std::vector<std::unique_ptr<Membership>> m_nodes;
-    std::map<std::string, int> m_numbers;
-    std::vector<bool> m_has;
+    std::map<std::string, int> m_indexOfAddress; // index in m_nodes by gossip address
+    std::vector<bool> m_hasChange; // by index in m_nodes
     std::priority_queue<Event, std::vector<Event>, std::greater<>> m_events;
-    double m_last = 0;
-    int m_reached = 0;
-    int m_messages = 0;
+    double m_lastAppliedAt = 0; // in seconds
+    int m_membersReached = 0;
+    int m_messageCount = 0;
 };
 
-void measureSpread()
+void measureBroadcast()
 {
-    fmt::print("members | ms until the last one told has the change | members told | messages a "
-               "member\n");
+    fmt::print("members | ms until the last member reached has the change | members reached | "
+               "messages per member\n");
     for (const int size : {9, 100, 400, 1700})
-        SpreadOfAChange(size).run();
+        BroadcastSimulation(size).run();
 }
 
 } // namespace
 
 int main()
 {
-    measureSpread();
+    measureBroadcast();
     measureMembers();
     measureLoads();
     measureConfig();
