--- a/include/ibisnotch/active-config.h
+++ b/include/ibisnotch/active-config.h
@@ -15,9 +15,9 @@
 
 namespace ibisnotch {
 
-// The change of one file: the bytes between a prefix and a suffix that are unchanged. Most changes
-// affect one place, and with 12,000 changes a day a whole overlay must not be sent to every
-// instance for each of them.
+// The change of one file: the new text between an unchanged prefix and suffix. Most changes affect
+// one place, and with 12,000 changes a day a whole overlay must not be sent to every instance for
+// each of them.
 struct FileDelta
 {
     std::string name;
@@ -79,8 +79,9 @@
 
 enum class ConfigApplyResult { accepted, notNewer, invalid };
 
-// Holds the document in force. Its version only ever increases: an older document is rejected, be
-// it delayed, kept by a restarted peer or read from a lagging replica of the store. Thread safe.
+// Holds the document in force. Its version only ever increases: an older document is rejected, for
+// example one that arrives late, comes from a restarted peer or was read from a lagging replica of
+// the store. Thread safe.
 class ActiveConfig
 {
 public:
--- a/include/ibisnotch/admission.h
+++ b/include/ibisnotch/admission.h
@@ -21,7 +21,7 @@
     int priority = 1; // of the request; 0 is the most urgent
     double slots = 0; // in the region in which the request would run
     double outstanding = 0; // requests running and waiting there
-    double queueFactor = 2; // limit of outstanding requests per slot for the most urgent
+    double queueFactor = 2; // outstanding per slot up to which the most urgent are accepted
     double maxWorth = 0; // highest worth of any service; 0 if worth is ignored
     bool lateIsUndelivered = false; // a late response has no value to the caller
     Duration roundTrip{}; // network delay to that region and back
--- a/include/ibisnotch/booking.h
+++ b/include/ibisnotch/booking.h
@@ -57,8 +57,8 @@
 
 std::string claimPageNameFor(long long hour, int shard);
 
-// Returns the latest hour whose pages may be removed: no instance accepts its keys any more,
-// whatever its clock says within the tolerance.
+// Returns the latest hour whose pages may be removed. Its keys are no longer accepted by any
+// instance whose clock is within the tolerance.
 long long newestExpiredHour(WallTime now, Duration keyLifetime);
 
 // Returns the name of a claim. It includes the customer, so that equal keys of two customers are
--- a/include/ibisnotch/config.h
+++ b/include/ibisnotch/config.h
@@ -23,7 +23,7 @@
     double tailLatency = 1;
     double cost = 1;
     double sentAway = 1;
-    bool lateIsUndelivered = false; // a late answer counts as not delivered
+    bool lateIsUndelivered = false; // a late response counts as not delivered
     bool operator==(const Weights &) const = default;
 };
 
@@ -84,7 +84,7 @@
     bool idempotent = true; // false: a booking, which must not run twice
     Duration deadline{}; // default, and upper bound for deadlines from callers
     Duration expectedDuration{}; // typical duration of one run
-    double worth = 1; // of an answer in time
+    double worth = 1; // value of a response in time
     int priority = 1; // 0 is the most urgent
     std::vector<std::string> regions; // where it may run; empty: all
     bool allowsAnonymous = false; // whether callers may omit the key
@@ -93,11 +93,11 @@
     // callers select the service by its name or model.
     std::optional<PathRule> pathRule;
     std::vector<PoolShare> pools; // empty: servers list the services or models they offer
-    Duration targetLatency{}; // aim for the answer or the first event of a stream
+    Duration targetLatency{}; // for the response or the first event of a stream
     int maxAttempts = 3; // maximum number of backend servers that may run one request
-    bool isStreaming = false; // answers are streams of numbered events
+    bool isStreaming = false; // responses are streams of numbered events
     bool isResumable = false; // another server can continue a stream after its last event
-    Duration maxEventGap{}; // between two events of a stream that is in time; 0: unlimited
+    Duration maxEventGap{}; // allowed between two events of a stream; 0: unlimited
     bool operator==(const Service &) const = default;
 };
 
--- a/include/ibisnotch/forward-path.h
+++ b/include/ibisnotch/forward-path.h
@@ -34,7 +34,7 @@
 
 // Checks a received request. Fails with ResultCode::loopRefused if the request has been at this
 // instance before, has changed regions more than once, or has been forwarded too often. Senders
-// follow the same rules; the check also holds if a sender has other settings.
+// follow the same rules; the check also works if a sender has other settings.
 absl::Status checkForwardPath(const ForwardPath &path, const Hop &self);
 
 // Returns true if instance `self` may forward a request with this path to `next`.
--- a/include/ibisnotch/prefix-follower.h
+++ b/include/ibisnotch/prefix-follower.h
@@ -45,8 +45,9 @@
 public:
     struct Limits
     {
-        // A watch on a connection that no longer responds fails only after this time, so it bounds
-        // the age of the known changes; the platform counts each watch as a call.
+        // A watch on a connection that no longer responds fails only after this time, so it limits
+        // how outdated the known keys may be. A shorter time costs more calls: the platform counts
+        // each watch as one.
         Duration watchTimeout = std::chrono::seconds(4);
         // Delay before the next watch after a change, so that one call fetches several changes.
         Duration coalesceDelay = std::chrono::milliseconds(100);
@@ -58,7 +59,7 @@
         // requests after 4 s.
         Duration updateValidity = std::chrono::seconds(2);
         // Time after a failed call in which short watches are used: another outage is likely, and a
-        // long watch that hangs in it would return nothing.
+        // long watch that hangs during it would return nothing.
         Duration shortWatchPeriod = std::chrono::seconds(15);
         Duration initialRetryDelay = std::chrono::milliseconds(250);
         Duration maxRetryDelay = std::chrono::milliseconds(1000);
--- a/include/ibisnotch/read-delay.h
+++ b/include/ibisnotch/read-delay.h
@@ -14,8 +14,8 @@
 // Engines read prompts one after the other. Under load, first tokens are therefore late because of
 // the prompts ahead, even while slots are free. Engines report the number of waiting requests with
 // each response, and the delay per waiting request is estimated from first tokens. First tokens
-// alone aren't enough: an instance of a large region sees so few of an engine that it measured a
-// tenth of the actual delay.
+// alone aren't enough: an instance of a large region receives so few from each engine that it
+// measured a tenth of the actual delay.
 
 // Measurement of the first token of a response.
 struct FirstTokenSample
--- a/include/ibisnotch/server-list.h
+++ b/include/ibisnotch/server-list.h
@@ -11,15 +11,16 @@
 
 // A removed entry may mean that the server has stopped, or only that its lease expired while the
 // store was unreachable. In the second case the server writes the entry again within about two
-// seconds of the store's return. If such servers were dropped at once, none would be left in that
-// time. A server that wasn't leaving is therefore kept for missingGrace after its entry was
-// removed, marked as missing because the list can't show that it became cold. Not thread safe.
+// seconds after the store is reachable again. If such servers were dropped at once, none would be
+// left in that time. A server that wasn't leaving is therefore kept for missingGrace after its
+// entry was removed, marked as missing because the list can't show that it became cold. Not thread
+// safe.
 class ServerList
 {
 public:
-    // Time in which a live server has to write its entry after the store's return, plus a margin
-    // for the network delay of the update. Must be shorter than the time in which leaving servers
-    // still accept requests.
+    // Time in which a live server has to write its entry once the store is reachable again, plus a
+    // margin for the network delay of the update. Must be shorter than the time in which leaving
+    // servers still accept requests.
     static constexpr Duration missingGrace = std::chrono::milliseconds(2300);
 
     // Adds or replaces an entry.
--- a/src/decide/membership.cc
+++ b/src/decide/membership.cc
@@ -235,8 +235,9 @@
 
 bool Membership::applyUpdateOfSelf(const Member &member)
 {
-    // Another instance holds this one for suspect or dead, or knows an earlier run of it. Only a
-    // higher incarnation overrides that, and only the instance itself may raise its incarnation.
+    // Another instance considers this one suspect or dead, or has a higher incarnation from an
+    // earlier run of it. Only a still higher incarnation overrides that, and only the instance
+    // itself may raise its incarnation.
     const bool mustRefute = member.incarnation > m_self.incarnation
         || (member.incarnation == m_self.incarnation && member.state > m_self.state);
     if (!mustRefute)
@@ -287,7 +288,7 @@
     switch (probe.kind) {
     case ProbeKind::ping: {
         Probe ack = makeProbe(ProbeKind::ack, probe.sequence);
-        // Tells the sender that this instance presumed it dead, so that it can refute that at once.
+        // Informs the sender that it is considered dead here, so that it can refute that at once.
         if (isSenderPresumedDead)
             ack.updates.push_back(previousEntry);
         out.push_back({from, std::move(ack)});
--- a/src/decide/pick.cc
+++ b/src/decide/pick.cc
@@ -189,8 +189,8 @@
     if (best)
         return *best;
     // Requests that exceed the bound of both go to the next servers in the order, which is the same
-    // for all instances. Distributed over a hundred servers, each server would have to read the
-    // prefix.
+    // for all instances. If they were distributed over a hundred servers, each of these would
+    // have to read the prefix.
     constexpr std::size_t overflowCount = 4;
     const std::size_t fallback = m_fallback.pick(input, random);
     const double maxReadDelay
--- a/src/decide/region-choice.cc
+++ b/src/decide/region-choice.cc
@@ -206,8 +206,9 @@
     if (const auto holder = chooseHolderRegion(input, table, now))
         return *holder;
     const bool localCanRun = localAllowed && input.localLoad.slots > 0;
-    // An instance that has just started knows its peers before their loads. A peer can still reject
-    // the request, while this instance would reject it for lack of information only.
+    // An instance that has just started knows its peers before it receives their loads. It forwards
+    // the request anyway: the peer can still reject it, while a rejection here would be for lack of
+    // information only.
     if (!best.region && !localCanRun && unknown)
         return {unknown, 2 * seconds(input.oneWayDelay), false};
     if (!localAllowed)
--- a/src/decide/server-table.cc
+++ b/src/decide/server-table.cc
@@ -175,8 +175,8 @@
         if (canShare && record.reportedAt > record.lastSharedReportAt)
             fresh.push_back(&record);
     }
-    // In a large region, sorting by name would share the first servers every time and the others
-    // never.
+    // In a large region, messages filled in the order of names would always contain the first
+    // servers and never the others.
     std::stable_sort(fresh.begin(), fresh.end(), [](const Record *a, const Record *b) {
         return a->lastSharedReportAt < b->lastSharedReportAt;
     });
@@ -197,7 +197,7 @@
 
 void ServerTable::startIncarnation(Record &record, const LoadReport &report)
 {
-    // The list may have shown this process as leaving before its first report told the start time.
+    // The list may have shown this process as leaving before its first report gave the start time.
     record.leaving = report.incarnation <= record.leavingNoticeMs;
     record.failures = 0;
     record.ejections = 0;
--- a/support/check-pages.sh
+++ b/support/check-pages.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Fails if a page names something that the tree lacks: an identifier, a test or a file in backquotes,
+# Fails if a page names something that is not in the tree: an identifier, a test or a file in backquotes,
 # or, in OPERATIONS.md, a log message in double quotes ending in a full stop.
 set -euo pipefail
 cd "$(dirname "$0")/.."
--- a/support/install.sh
+++ b/support/install.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Installs the Debian packages that the build needs; does nothing where they are there already.
+# Installs the Debian packages that the build needs, unless they are installed already.
 set -euo pipefail
 
 packages=(
--- a/support/quickstart.sh
+++ b/support/quickstart.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Installs, builds, starts the whole path on 127.0.0.1, sends one request of each kind, and stops.
+# Installs, builds, starts the example system on 127.0.0.1, sends one request of each kind, and stops.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 support/install.sh
--- a/support/render-burn.sh
+++ b/support/render-burn.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Renders the burn report of the example system to burn.png, for looking at it. Installs a browser.
+# Renders the burn report of the example system to burn.png, to inspect its layout. Installs a browser.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 command -v chromium >/dev/null || apt-get install -q -y --no-install-recommends chromium >/dev/null
--- a/support/safeguards.sh
+++ b/support/safeguards.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Takes away one safeguard after the other, in a copy of the tree, and shows that its test then
-# fails. Slow: each is built again. Arguments: parts of the names to run; none runs all.
+# Removes one safeguard at a time, in a copy of the tree, and checks that its test then fails.
+# Slow: the copy is built again for each. Arguments: parts of the names to run; none runs all.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 copy=$(mktemp -d)
--- a/support/system.sh
+++ b/support/system.sh
@@ -98,7 +98,7 @@
     for name in "${!systemPids[@]}"; do
         case $name in *-[123]) entries+=("$name") ;; esac
     done
-    # All entry instances are told first, so that they drain at the same time.
+    # All entry instances are signalled first, so that they drain at the same time.
     for name in "${entries[@]}"; do
         kill -TERM "${systemPids[$name]}" 2>/dev/null || true
     done
--- a/test/entry-list-test.cc
+++ b/test/entry-list-test.cc
@@ -42,7 +42,7 @@
     });
 }
 
-// Guards against callers that ask at the same time and all connect to the same instance.
+// Guards against callers that request a list at the same time and all connect to the same instance.
 TEST_CASE("makeEntryList_manyCallers_distributesThemByFreeCapacity")
 {
     std::vector<Member> members = fleet();
--- a/test/membership-test.cc
+++ b/test/membership-test.cc
@@ -174,8 +174,9 @@
     checkAllSeeEachOther(fleet);
 }
 
-// Guards against a partition that outlasts its cause. A region is isolated for minutes and both
-// sides declare each other dead; dead members are still probed, and refute that afterwards.
+// Guards against members that stay dead after a partition has healed. A region is isolated for
+// minutes and both sides declare each other dead; dead members are still probed, and refute that
+// afterwards.
 TEST_CASE("membership_afterARegionWasIsolated_heals")
 {
     FakeFleet fleet(instanceNames, 4);
@@ -254,7 +255,7 @@
 
 TEST_CASE("overrides_ofAnyTwoClaims_isAStrictOrder")
 {
-    rc::prop("never both ways", [] {
+    rc::prop("at most one overrides the other", [] {
         Member a = makeMember("a1", *rc::gen::inRange<std::uint64_t>(1, 4));
         Member b = makeMember("a1", *rc::gen::inRange<std::uint64_t>(1, 4));
         a.state = static_cast<MemberState>(*rc::gen::inRange(0, 5));
--- a/test/prefix-follower-test.cc
+++ b/test/prefix-follower-test.cc
@@ -124,7 +124,7 @@
     CHECK(follower.nextCall(now) == FollowCall(ListCall{"a"}));
     CHECK(follower.onResponse(page({{"b", "2", 9, false}}, 11), now).size() == 1);
     CHECK(follower.isComplete());
-    // What it has read is valid as long as an update.
+    // What was listed counts as current for as long as an update.
     CHECK_FALSE(follower.nextCall(now + 1900ms));
     const auto call = follower.nextCall(now + 2s);
     REQUIRE(call);
@@ -164,9 +164,9 @@
     CHECK(follower.isStoreReachable());
 }
 
-// Guards against missing that backend servers became cold in a region that is isolated again soon
-// after an outage of the store: a watch of four seconds would hang that long before servers are
-// checked.
+// Guards against detecting late that backend servers became cold, in a region that is isolated
+// again soon after an outage of the store: a watch of four seconds would hang that long before the
+// servers are checked.
 TEST_CASE_METHOD(FollowerFixture, "prefixFollower_callFailed_usesShortWatchesAndShorterValidity")
 {
     follower.setRole(FollowRole::alone);
--- a/test/region-choice-test.cc
+++ b/test/region-choice-test.cc
@@ -152,7 +152,7 @@
 
 // Guards against a wait that alternates between two regions: all instances learn of free capacity
 // at the same time, and the next loads arrive half a second later. Only a part of the requests may
-// go.
+// be forwarded.
 TEST_CASE_METHOD(RegionFixture, "regionChooser_localReadDelay_forwardsAPart")
 {
     input.weights = {1, 1, 1, false};
--- a/test/retry-test.cc
+++ b/test/retry-test.cc
@@ -86,7 +86,7 @@
 }
 
 // Guards against a request that runs on more servers than its service allows because each instance
-// counts only its own attempts: it fails here, is forwarded to another region and fails there.
+// counts only its own attempts: it fails in one region, is forwarded to another and fails there.
 TEST_CASE("decideRetry_runsOfAllInstancesUsedUp_abandons")
 {
     RetryInput input;
--- a/test/server-table-test.cc
+++ b/test/server-table-test.cc
@@ -46,8 +46,8 @@
 
 } // namespace
 
-// Guards against requests to a leaving server: reports of its incarnation from before and after
-// that are still relayed by other instances, and must not make it usable again.
+// Guards against requests to a leaving server. Other instances still relay reports of the same
+// incarnation, from before and after the notice, which must not make it usable again.
 TEST_CASE_METHOD(TableFixture, "leavingServer_laterReportsOfTheSameIncarnation_staysLeaving")
 {
     rc::prop("no report makes it usable", [] {
--- a/test/warmup-test.cc
+++ b/test/warmup-test.cc
@@ -66,7 +66,7 @@
         const TimePoint knownAt = coldAt + std::chrono::milliseconds(*rc::gen::inRange(0, 200));
         std::vector<ServerCounters> counters(senders.size());
         std::deque<TimePoint> sent;
-        // Each sender sends up to two requests before it knows.
+        // Each sender sends up to two requests before it learns that the server is cold.
         std::vector<int> sentUnaware(senders.size(), 0);
         for (TimePoint now{1s}; now < TimePoint{6s}; now += 10ms) {
             while (!sent.empty() && now - sent.front() > 1s)
