--- a/include/ibisnotch/config.h
+++ b/include/ibisnotch/config.h
@@ -97,7 +97,7 @@
     int maxAttempts = 3; // maximum number of backend servers that may run one request
     bool isStreaming = false; // responses are streams of numbered events
     bool isResumable = false; // another server can continue a stream after its last event
-    Duration maxEventGap{}; // allowed between two events of a stream; 0: unlimited
+    Duration maxEventGap{}; // largest gap in a stream that counts as in time; 0: unlimited
     bool operator==(const Service &) const = default;
 };
 
--- a/include/ibisnotch/entry-list.h
+++ b/include/ibisnotch/entry-list.h
@@ -35,9 +35,9 @@
 
 // Returns all alive instances of the caller's region in random order, for callers that use any of
 // the listed instances. If there are none, for example while all are stopped for planned
-// maintenance, returns the instances of the region in which most services may run, since in any
-// other region the caller's data would more often arrive where it may not be processed. The
-// caller's services are not known here, as it may use one list for several hosts.
+// maintenance, returns the instances of the region in which most services may run: a caller
+// directed to another region could send its data where it may not be processed. The caller's
+// services are not known here, as it may use one list for several hosts.
 EntryList makeLocalEntryList(const std::vector<Member> &members, const LocalEntryListInput &input,
                              Random &random);
 
