--- a/test/membership-test.cc
+++ b/test/membership-test.cc
@@ -239,7 +239,7 @@
     checkAllSeeEachOther(fleet);
 }
 
-TEST_CASE("membership_leavingInstance_isKnownAtOnceAndNotBroughtBack")
+TEST_CASE("membership_leavingInstance_isKnownAtOnceAndStaysLeaving")
 {
     FakeFleet fleet(instanceNames, 7);
     fleet.run(15s);
@@ -253,7 +253,7 @@
     CHECK_FALSE(b1.applyUpdate(makeMember("a3", 1), fleet.now()));
 }
 
-TEST_CASE("overrides_ofAnyTwoClaims_isAStrictOrder")
+TEST_CASE("overrides_ofAnyTwoStates_isAStrictOrder")
 {
     rc::prop("at most one overrides the other", [] {
         Member a = makeMember("a1", *rc::gen::inRange<std::uint64_t>(1, 4));
