--- a/include/ibisnotch/server-table.h
+++ b/include/ibisnotch/server-table.h
@@ -68,7 +68,7 @@
 
     // Used while the server is possibly cold (see warmup.h).
     std::atomic<std::uint32_t> possiblyColdSent = 0; // requests sent in that state
-    // Value of possiblyColdSent when the last status check that found the server warm was sent.
+    // Value of possiblyColdSent when the last health check that found the server warm was sent.
     std::atomic<std::uint32_t> possiblyColdVerified = 0;
     std::atomic<Duration::rep> confirmedWarmAt = 0; // when that check was answered
 
@@ -91,10 +91,10 @@
     // When the server last responded to any instance of the region, by the reports received so far.
     std::atomic<Duration::rep> lastRespondedAt = 0;
     std::atomic<Duration::rep> waitingSince = 0; // when awaitedRequests last rose from zero
-    // Health checks that this instance sent because the server was silent.
-    std::atomic<Duration::rep> healthCheckSentAt = 0;
-    std::atomic<Duration::rep> healthCheckPassedAt = 0;
-    std::atomic<Duration::rep> healthCheckFailedAt = 0;
+    // Status checks that this instance sent because the server was silent.
+    std::atomic<Duration::rep> statusCheckSentAt = 0;
+    std::atomic<Duration::rep> statusCheckPassedAt = 0;
+    std::atomic<Duration::rep> statusCheckFailedAt = 0;
     std::atomic<bool> trialInProgress = false; // one request is testing the ejected server
 };
 
@@ -121,7 +121,7 @@
     bool operator==(const ListedServer &) const = default;
 };
 
-// Message between instances: a server reported in a status check that it is cold.
+// Message between instances: a server reported in a health check that it is cold.
 struct ColdUpdate
 {
     std::uint32_t server = 0; // serverId() of its name
--- a/include/ibisnotch/silence.h
+++ b/include/ibisnotch/silence.h
@@ -34,14 +34,14 @@
 // server. This may rest on a single stream, so it doesn't prove that the server has failed.
 bool isSilent(const ServerCounters &counters, TimePoint now);
 
-// Returns whether to send a health check to a silent server now, before its requests are ended, and
+// Returns whether to send a status check to a silent server now, before its requests are ended, and
 // records it as sent if so. Not safe for concurrent calls.
-bool tryAcquireHealthCheck(ServerCounters &counters, TimePoint now);
+bool tryAcquireStatusCheck(ServerCounters &counters, TimePoint now);
 
-// Records the result of a health check.
-void recordHealthCheck(ServerCounters &counters, bool passed, TimePoint now);
+// Records the result of a status check.
+void recordStatusCheck(ServerCounters &counters, bool passed, TimePoint now);
 
-// Returns whether a server is silent and has also failed a health check since.
+// Returns whether a server is silent and has also failed a status check since.
 bool isUnresponsive(const ServerCounters &counters, TimePoint now);
 
 // Message by which an instance reports at once that a server has become silent or has recovered, so
--- a/include/ibisnotch/warmup.h
+++ b/include/ibisnotch/warmup.h
@@ -42,19 +42,19 @@
                              TimePoint now);
 
 // Returns since when the server may have become cold without the list showing it, because the list
-// hasn't been confirmed within its maxAge or the server's entry is missing. Status checks of the
+// hasn't been confirmed within its maxAge or the server's entry is missing. Health checks of the
 // server replace the list then. Empty if the list is current.
 std::optional<TimePoint> possiblyColdSince(const ListState &list, const ServerView &view,
                                            TimePoint now);
 
-// Returns how many requests this instance may send to a possibly cold server between two status
+// Returns how many requests this instance may send to a possibly cold server between two health
 // checks: 0 if the server's rate is assigned to other instances, empty if its pool has no warm-up
 // rate. The number is limited so that a server that did become cold gets no more than it can
 // handle, however late the next check is answered.
 std::optional<std::size_t> possiblyColdShare(const RoutingTable &table, const WarmupBound &bound,
                                              const std::string &self, const BackendServer &server);
 
-// Returns whether a status check since `possiblyColdSince` has found the server warm and the share
+// Returns whether a health check since `possiblyColdSince` has found the server warm and the share
 // isn't used up.
 bool canSendPossiblyCold(const ServerCounters &counters, std::size_t share,
                          TimePoint possiblyColdSince);
@@ -63,10 +63,10 @@
 bool tryAcquirePossiblyCold(ServerCounters &counters, std::size_t share,
                             TimePoint possiblyColdSince);
 
-// Returns whether the server needs a status check before the full share is available to it again.
-bool needsStatusCheck(const ServerCounters &counters, TimePoint possiblyColdSince);
+// Returns whether the server needs a health check before the full share is available to it again.
+bool needsHealthCheck(const ServerCounters &counters, TimePoint possiblyColdSince);
 
-// Records a status check that found the server warm; `sentBefore` is the value of possiblyColdSent
+// Records a health check that found the server warm; `sentBefore` is the value of possiblyColdSent
 // when the check was sent.
 void recordWarm(ServerCounters &counters, std::uint32_t sentBefore, TimePoint now);
 
@@ -82,11 +82,11 @@
 struct PossiblyColdChoice
 {
     std::vector<std::size_t> ready; // indexes of the servers that may get a request now
-    bool wait = false; // none is ready, but one may be after its next status check
+    bool wait = false; // none is ready, but one may be after its next health check
     bool operator==(const PossiblyColdChoice &) const = default;
 };
 
-// Returns the servers that are ready, or else whether to wait for a status check. If this instance
+// Returns the servers that are ready, or else whether to wait for a health check. If this instance
 // has a share of none, it returns the server to which it hasn't sent for the longest time, since
 // rejecting the request would certainly harm the caller.
 PossiblyColdChoice choosePossiblyCold(std::span<const PossiblyColdServer> servers);
--- a/src/decide/silence.cc
+++ b/src/decide/silence.cc
@@ -14,7 +14,7 @@
 constexpr double maxUsualIntervals = 4;
 // The same for responses without a stream: half of the two seconds after which callers leave.
 constexpr Duration maxResponseWait = std::chrono::milliseconds(1000);
-constexpr Duration healthCheckInterval = std::chrono::milliseconds(300);
+constexpr Duration statusCheckInterval = std::chrono::milliseconds(300);
 
 Duration maxStreamPause(const ServerCounters &counters)
 {
@@ -92,25 +92,25 @@
     return now.time_since_epoch() - since >= allowed;
 }
 
-bool tryAcquireHealthCheck(ServerCounters &counters, TimePoint now)
+bool tryAcquireStatusCheck(ServerCounters &counters, TimePoint now)
 {
-    const TimePoint sentAt{Duration(counters.healthCheckSentAt.load())};
-    if (!isSilent(counters, now) || now - sentAt < healthCheckInterval)
+    const TimePoint sentAt{Duration(counters.statusCheckSentAt.load())};
+    if (!isSilent(counters, now) || now - sentAt < statusCheckInterval)
         return false;
-    counters.healthCheckSentAt = now.time_since_epoch().count();
+    counters.statusCheckSentAt = now.time_since_epoch().count();
     return true;
 }
 
-void recordHealthCheck(ServerCounters &counters, bool passed, TimePoint now)
+void recordStatusCheck(ServerCounters &counters, bool passed, TimePoint now)
 {
-    (passed ? counters.healthCheckPassedAt : counters.healthCheckFailedAt)
+    (passed ? counters.statusCheckPassedAt : counters.statusCheckFailedAt)
         = now.time_since_epoch().count();
 }
 
 bool isUnresponsive(const ServerCounters &counters, TimePoint now)
 {
-    const auto lastSign = std::max(lastActivity(counters), counters.healthCheckPassedAt.load());
-    return isSilent(counters, now) && counters.healthCheckFailedAt > lastSign;
+    const auto lastSign = std::max(lastActivity(counters), counters.statusCheckPassedAt.load());
+    return isSilent(counters, now) && counters.statusCheckFailedAt > lastSign;
 }
 
 } // namespace ibisnotch
--- a/src/decide/warmup.cc
+++ b/src/decide/warmup.cc
@@ -104,7 +104,7 @@
     return true;
 }
 
-bool needsStatusCheck(const ServerCounters &counters, TimePoint possiblyColdSince)
+bool needsHealthCheck(const ServerCounters &counters, TimePoint possiblyColdSince)
 {
     const bool foundWarm = TimePoint(Duration(counters.confirmedWarmAt.load())) > possiblyColdSince;
     return !foundWarm || counters.possiblyColdSent != counters.possiblyColdVerified;
--- a/src/entry/chat-protocol.cc
+++ b/src/entry/chat-protocol.cc
@@ -148,10 +148,10 @@
 
     OutgoingRequest makeHealthCheck(const FleetConfig &, const BackendServer &server) const override
     {
-        return makeStatusQuery(server);
+        return makeStatusCheck(server);
     }
 
-    OutgoingRequest makeStatusQuery(const BackendServer &server) const override
+    OutgoingRequest makeStatusCheck(const BackendServer &server) const override
     {
         OutgoingRequest request;
         request.url = "http://" + server.address + "/metrics";
--- a/src/entry/cold-server-monitor.cc
+++ b/src/entry/cold-server-monitor.cc
@@ -30,7 +30,7 @@
             continue;
         const auto share = possiblyColdShare(*table, m_state.settings.warmup, m_state.settings.name,
                                              view.server);
-        const bool mayBeSentTo = share && *share > 0 && needsStatusCheck(*view.counters, *since);
+        const bool mayBeSentTo = share && *share > 0 && needsHealthCheck(*view.counters, *since);
         TimePoint &next = nextCheck[view.server.name];
         next = m_nextCheck[view.server.name];
         if (now < next || !(mayBeSentTo || isResponsible(view)))
--- a/src/entry/control-loads.cc
+++ b/src/entry/control-loads.cc
@@ -142,7 +142,7 @@
 {
     broadcastSilenceUpdates(m_silentServers.tick());
     for (const ServerView &view : m_silentServers.dueForStatusCheck()) {
-        sendBuffered(m_client, makeRegionStatusQuery(m_protocol, view.server),
+        sendBuffered(m_client, makeRegionStatusCheck(m_protocol, view.server),
                      [this, view](const BufferedResponse &reply) {
                          m_link.post([this, view, reply] {
                              m_silentServers.onStatusCheckEnded(view, reply);
--- a/src/entry/health-check.cc
+++ b/src/entry/health-check.cc
@@ -7,8 +7,8 @@
 // Servers in the region respond to a health check within a millisecond, unless it waits for a slot.
 constexpr Duration healthCheckTimeout = std::chrono::milliseconds(400);
 
-// A working server responds to a status query in about 10 ms.
-constexpr Duration statusQueryTimeout = std::chrono::milliseconds(300);
+// A working server responds to a status check in about 10 ms.
+constexpr Duration statusCheckTimeout = std::chrono::milliseconds(300);
 
 OutgoingRequest withTimeout(OutgoingRequest request, Duration limit)
 {
@@ -27,9 +27,9 @@
                        healthCheckTimeout);
 }
 
-OutgoingRequest makeRegionStatusQuery(const Protocol &protocol, const BackendServer &server)
+OutgoingRequest makeRegionStatusCheck(const Protocol &protocol, const BackendServer &server)
 {
-    return withTimeout(protocol.makeStatusQuery(server), statusQueryTimeout);
+    return withTimeout(protocol.makeStatusCheck(server), statusCheckTimeout);
 }
 
 } // namespace ibisnotch
--- a/src/entry/health-check.h
+++ b/src/entry/health-check.h
@@ -1,4 +1,7 @@
-// Health checks of backend servers in the same region.
+// Health checks and status checks of backend servers in the same region. A health check may wait
+// for a slot; possibly cold servers get it, and silent ones that were taken out of use. A status
+// check is answered even while all slots are in use; a silent server gets it before the requests
+// running there are ended.
 #pragma once
 
 #include "ibisnotch/http-client.h"
@@ -12,7 +15,7 @@
 OutgoingRequest makeRegionHealthCheck(const EntryState &state, const Protocol &protocol,
                                       const BackendServer &server);
 
-// Makes a status query, which the server also answers while all its slots are in use.
-OutgoingRequest makeRegionStatusQuery(const Protocol &protocol, const BackendServer &server);
+// The same for a status check, which needs no configuration.
+OutgoingRequest makeRegionStatusCheck(const Protocol &protocol, const BackendServer &server);
 
 } // namespace ibisnotch
--- a/src/entry/protocol.h
+++ b/src/entry/protocol.h
@@ -104,8 +104,8 @@
     // Makes a request that checks whether a backend server works.
     virtual OutgoingRequest makeHealthCheck(const FleetConfig &config,
                                             const BackendServer &server) const = 0;
-    // Makes a health check that the server also answers while all its slots are in use.
-    virtual OutgoingRequest makeStatusQuery(const BackendServer &server) const = 0;
+    // Makes a status check, which the server answers even while all its slots are in use.
+    virtual OutgoingRequest makeStatusCheck(const BackendServer &server) const = 0;
     // Returns true if the response to a health check comes from the server process that `target`
     // names, not from one that was started later.
     virtual bool isSameIncarnation(const Target &target, const BufferedResponse &reply) const = 0;
--- a/src/entry/silent-server-monitor.cc
+++ b/src/entry/silent-server-monitor.cc
@@ -155,7 +155,7 @@
     if (!table || now < m_ignoreUntil)
         return due;
     for (const ServerView &view : table->servers) {
-        if (tryAcquireHealthCheck(*view.counters, now))
+        if (tryAcquireStatusCheck(*view.counters, now))
             due.push_back(view);
     }
     return due;
@@ -164,7 +164,7 @@
 void SilentServerMonitor::onStatusCheckEnded(const ServerView &view, const BufferedResponse &reply)
 {
     const bool responded = reply.result.outcome == TransferOutcome::complete;
-    recordHealthCheck(*view.counters, responded, m_state.clock.now());
+    recordStatusCheck(*view.counters, responded, m_state.clock.now());
     if (responded)
         return;
     logLine(LogPart::load, LogLevel::info, "Backend server did not respond to a status check.",
--- a/src/entry/silent-server-monitor.h
+++ b/src/entry/silent-server-monitor.h
@@ -42,7 +42,7 @@
     struct SilentServer
     {
         TimePoint since;
-        TimePoint nextCheck; // health check
+        TimePoint nextCheck; // when the next health check is due
     };
 
     bool isAfterStall(TimePoint now);
--- a/test/silence-test.cc
+++ b/test/silence-test.cc
@@ -54,38 +54,38 @@
 }
 
 // Guards against ending a stream at a working server only because the stream pauses.
-TEST_CASE_METHOD(SilenceFixture, "silence_healthCheckPassed_isNotUnresponsive")
+TEST_CASE_METHOD(SilenceFixture, "silence_statusCheckPassed_isNotUnresponsive")
 {
     beginStream();
-    CHECK_FALSE(tryAcquireHealthCheck(counters, now + 500ms));
-    CHECK(tryAcquireHealthCheck(counters, now + 600ms));
-    CHECK_FALSE(tryAcquireHealthCheck(counters, now + 700ms));
-    recordHealthCheck(counters, true, now + 610ms);
+    CHECK_FALSE(tryAcquireStatusCheck(counters, now + 500ms));
+    CHECK(tryAcquireStatusCheck(counters, now + 600ms));
+    CHECK_FALSE(tryAcquireStatusCheck(counters, now + 700ms));
+    recordStatusCheck(counters, true, now + 610ms);
     CHECK_FALSE(isUnresponsive(counters, now + 900ms));
-    CHECK(tryAcquireHealthCheck(counters, now + 910ms));
+    CHECK(tryAcquireStatusCheck(counters, now + 910ms));
 }
 
-TEST_CASE_METHOD(SilenceFixture, "silence_healthCheckFailed_isUnresponsive")
+TEST_CASE_METHOD(SilenceFixture, "silence_statusCheckFailed_isUnresponsive")
 {
     beginStream();
-    CHECK(tryAcquireHealthCheck(counters, now + 600ms));
+    CHECK(tryAcquireStatusCheck(counters, now + 600ms));
     CHECK_FALSE(isUnresponsive(counters, now + 800ms));
-    recordHealthCheck(counters, false, now + 900ms);
+    recordStatusCheck(counters, false, now + 900ms);
     CHECK(isUnresponsive(counters, now + 900ms));
 }
 
-// Guards against a failed health check of an earlier silence that counts for the next one.
+// Guards against a failed status check of an earlier silence that counts for the next one.
 TEST_CASE_METHOD(SilenceFixture,
-                 "silence_dataSinceTheHealthCheck_isNotUnresponsiveUntilTheNextFails")
+                 "silence_dataSinceTheStatusCheck_isNotUnresponsiveUntilTheNextFails")
 {
     beginStream();
-    CHECK(tryAcquireHealthCheck(counters, now + 600ms));
-    recordHealthCheck(counters, false, now + 630ms);
+    CHECK(tryAcquireStatusCheck(counters, now + 600ms));
+    recordStatusCheck(counters, false, now + 630ms);
     recordReceived(counters, now + 650ms);
     CHECK(isSilent(counters, now + 1300ms));
     CHECK_FALSE(isUnresponsive(counters, now + 1300ms));
-    CHECK(tryAcquireHealthCheck(counters, now + 1300ms));
-    recordHealthCheck(counters, false, now + 1400ms);
+    CHECK(tryAcquireStatusCheck(counters, now + 1300ms));
+    recordStatusCheck(counters, false, now + 1400ms);
     CHECK(isUnresponsive(counters, now + 1400ms));
 }
 
--- a/test/warmup-test.cc
+++ b/test/warmup-test.cc
@@ -125,7 +125,7 @@
                 = possiblyColdShare(fixture.table, fixture.bound, sender, fixture.server);
             RC_ASSERT(share.has_value());
             ServerCounters counters;
-            // Time of the status check and number of requests sent before it.
+            // Time of the health check and number of requests sent before it.
             std::optional<std::pair<TimePoint, std::uint32_t>> check;
             Duration roundTrip{};
             for (TimePoint now = since; now < coldAt + 1s; now += 20ms) {
@@ -136,7 +136,7 @@
                     recordWarm(counters, check->second, now);
                     check.reset();
                 }
-                if (!check && needsStatusCheck(counters, since)) {
+                if (!check && needsHealthCheck(counters, since)) {
                     check.emplace(now, counters.possiblyColdSent.load());
                     roundTrip = std::chrono::milliseconds(*rc::gen::inRange(1, 400));
                 }
@@ -156,22 +156,22 @@
     CHECK_FALSE(possiblyColdShare(fixture.table, fixture.bound, "entry-0", fixture.server));
 }
 
-// Guards against considering a server warm by a status check from before the list became outdated.
+// Guards against considering a server warm by a health check from before the list became outdated.
 TEST_CASE("canSendPossiblyCold_checkBeforeTheListGotOld_doesNotCount")
 {
     ServerCounters counters;
     CHECK_FALSE(canSendPossiblyCold(counters, 1, TimePoint{1h}));
     recordWarm(counters, 0, TimePoint{1h} - 1s);
     CHECK_FALSE(canSendPossiblyCold(counters, 1, TimePoint{1h}));
-    CHECK(needsStatusCheck(counters, TimePoint{1h}));
+    CHECK(needsHealthCheck(counters, TimePoint{1h}));
     recordWarm(counters, 0, TimePoint{1h} + 1s);
-    CHECK_FALSE(needsStatusCheck(counters, TimePoint{1h}));
+    CHECK_FALSE(needsHealthCheck(counters, TimePoint{1h}));
     CHECK(tryAcquirePossiblyCold(counters, 1, TimePoint{1h}));
     CHECK_FALSE(tryAcquirePossiblyCold(counters, 1, TimePoint{1h}));
-    CHECK(needsStatusCheck(counters, TimePoint{1h}));
+    CHECK(needsHealthCheck(counters, TimePoint{1h}));
 }
 
-// Guards against rejecting a request while a status check is in progress, or because this instance
+// Guards against rejecting a request while a health check is in progress, or because this instance
 // has a share of no server.
 TEST_CASE("choosePossiblyCold_noServerReady_waitsOrChoosesTheLongestIdle")
 {
