--- a/src/decide/booking.cc
+++ b/src/decide/booking.cc
@@ -239,8 +239,8 @@
     if (!m_call && m_pageKnown)
         decideClaims(actions);
     expireOverdueClaims(now, actions);
-    const bool work = !m_claims.empty() || !m_pendingOutcomes.empty();
-    if (!m_call && work && now >= m_nextCallAt)
+    const bool hasWork = !m_claims.empty() || !m_pendingOutcomes.empty();
+    if (!m_call && hasWork && now >= m_nextCallAt)
         startCall(actions);
     return actions;
 }
@@ -264,22 +264,22 @@
 
 void ClaimPageWriter::decideClaims(std::vector<ClaimAction> &actions)
 {
-    std::deque<Request> open;
+    std::deque<Request> remaining;
     for (Request &request : m_claims) {
         if (const auto result = resultFor(request))
             actions.emplace_back(*result);
         else
-            open.push_back(std::move(request));
+            remaining.push_back(std::move(request));
     }
-    m_claims = std::move(open);
+    m_claims = std::move(remaining);
 }
 
 void ClaimPageWriter::expireOverdueClaims(TimePoint now, std::vector<ClaimAction> &actions)
 {
-    std::deque<Request> open;
+    std::deque<Request> remaining;
     for (Request &request : m_claims) {
         if (now < request.deadline) {
-            open.push_back(std::move(request));
+            remaining.push_back(std::move(request));
             continue;
         }
         actions.emplace_back(ClaimResult{request.attempt, ClaimOutcome::storeUnreachable, 0});
@@ -288,7 +288,7 @@
         // unknown" for a day.
         m_pendingOutcomes.push_back({request.attempt, request.claimId, ClaimState::notRun, 0});
     }
-    m_claims = std::move(open);
+    m_claims = std::move(remaining);
 }
 
 bool ClaimPageWriter::applyClaim(const Request &request, ClaimPage &page)
@@ -317,15 +317,15 @@
 
 void ClaimPageWriter::dropStoredOutcomes()
 {
-    std::deque<PendingOutcome> open;
+    std::deque<PendingOutcome> remaining;
     for (PendingOutcome &outcome : m_pendingOutcomes) {
         const auto found = m_page.find(outcome.claimId);
         const bool isUnrecorded = found != m_page.end() && found->second.attempt == outcome.attempt
             && found->second.state == ClaimState::claimed;
         if (isUnrecorded)
-            open.push_back(std::move(outcome));
+            remaining.push_back(std::move(outcome));
     }
-    m_pendingOutcomes = std::move(open);
+    m_pendingOutcomes = std::move(remaining);
 }
 
 void ClaimPageWriter::startCall(std::vector<ClaimAction> &actions)
@@ -337,12 +337,12 @@
     }
     m_pageBeingWritten = m_page;
     bool changed = applyOutcomes(m_pageBeingWritten);
-    std::deque<Request> open;
+    std::deque<Request> remaining;
     for (Request &request : m_claims) {
         // Of two requests with the same key in one batch, the first one claims the key.
         if (m_pageBeingWritten.count(request.claimId) > 0
             && m_pageBeingWritten[request.claimId].state != ClaimState::notRun) {
-            open.push_back(std::move(request));
+            remaining.push_back(std::move(request));
             continue;
         }
         if (!applyClaim(request, m_pageBeingWritten)) {
@@ -350,9 +350,9 @@
             continue;
         }
         changed = true;
-        open.push_back(std::move(request));
+        remaining.push_back(std::move(request));
     }
-    m_claims = std::move(open);
+    m_claims = std::move(remaining);
     if (!changed) {
         dropStoredOutcomes();
         return;
--- a/src/decide/config-check.cc
+++ b/src/decide/config-check.cc
@@ -86,15 +86,15 @@
 {
     if (active.overlays.empty())
         return;
-    const auto old = parseFleetConfig(active, active.overlays.begin()->first);
-    if (!old.ok())
+    const auto activeConfig = parseFleetConfig(active, active.overlays.begin()->first);
+    if (!activeConfig.ok())
         return;
-    const Limits &now = sites.begin()->second.limits;
-    if (now.bookingShards != old->limits.bookingShards)
+    const Limits &limits = sites.begin()->second.limits;
+    if (limits.bookingShards != activeConfig->limits.bookingShards)
         errors.push_back(
             fmt::format("limits.bookingShards: may not change while keys live; keep {}",
-                        old->limits.bookingShards));
-    if (now.bookingKeyLifetime > old->limits.bookingKeyLifetime)
+                        activeConfig->limits.bookingShards));
+    if (limits.bookingKeyLifetime > activeConfig->limits.bookingKeyLifetime)
         errors.emplace_back("limits.bookingKeyLife: may not grow, dropped claims would be accepted "
                             "again; keep or lower it");
 }
--- a/src/decide/config.cc
+++ b/src/decide/config.cc
@@ -145,11 +145,11 @@
     double total = 0;
     for (const PoolShare &share : service.pools)
         total += share.weight;
-    double left = uniform * total;
+    double remaining = uniform * total;
     for (const PoolShare &share : service.pools) {
-        if (left < share.weight)
+        if (remaining < share.weight)
             return share.pool;
-        left -= share.weight;
+        remaining -= share.weight;
     }
     return service.pools.empty() ? "" : service.pools.back().pool;
 }
--- a/src/decide/forward-path.cc
+++ b/src/decide/forward-path.cc
@@ -28,8 +28,8 @@
 absl::StatusOr<ForwardPath> parseForwardPath(std::string_view text)
 {
     ForwardPath path;
-    const absl::string_view whole(text.data(), text.size());
-    for (const absl::string_view part : absl::StrSplit(whole, ',')) {
+    const absl::string_view input(text.data(), text.size());
+    for (const absl::string_view part : absl::StrSplit(input, ',')) {
         const std::vector<std::string> fields = absl::StrSplit(part, '@');
         if (fields.size() != 2 || fields[0].empty() || fields[1].empty())
             return makeStatus(ResultCode::malformedRequest, "broken forward path");
@@ -51,9 +51,9 @@
     const bool alreadyVisited = std::any_of(path.begin(), path.end(), [&self](const Hop &hop) {
         return hop.instance == self.instance;
     });
-    ForwardPath whole = path;
-    whole.push_back(self);
-    if (alreadyVisited || path.size() > maxHops || regionChanges(whole) > maxRegionChanges)
+    ForwardPath extended = path;
+    extended.push_back(self);
+    if (alreadyVisited || path.size() > maxHops || regionChanges(extended) > maxRegionChanges)
         return makeStatus(ResultCode::loopRefused,
                           "the request came by " + formatForwardPath(path));
     return absl::OkStatus();
@@ -61,9 +61,9 @@
 
 bool canForwardTo(const ForwardPath &path, const Hop &self, const Hop &next)
 {
-    ForwardPath whole = path;
-    whole.push_back(self);
-    return checkForwardPath(whole, next).ok();
+    ForwardPath extended = path;
+    extended.push_back(self);
+    return checkForwardPath(extended, next).ok();
 }
 
 } // namespace ibisnotch
--- a/src/decide/pick.cc
+++ b/src/decide/pick.cc
@@ -86,13 +86,13 @@
 double meanMsPerWaitingRequest(const std::vector<Candidate> &candidates)
 {
     double sum = 0;
-    int known = 0;
+    int knownCount = 0;
     for (const Candidate &candidate : candidates) {
         const double delay = candidate.view->counters->msPerWaitingRequest;
         sum += delay;
-        known += delay > 0 ? 1 : 0;
+        knownCount += delay > 0 ? 1 : 0;
     }
-    return sum / std::max(1, known);
+    return sum / std::max(1, knownCount);
 }
 
 double bestTokensPerMs(const std::vector<Candidate> &candidates)
--- a/test/booking-test.cc
+++ b/test/booking-test.cc
@@ -236,7 +236,7 @@
 // the attempt whose number is read back from the page may send.
 TEST_CASE("claims_underAnyInterleavingOfFaults_sendEachKeyAtMostOnce")
 {
-    rc::prop("at most one send a key", [] {
+    rc::prop("each key is sent at most once", [] {
         constexpr std::size_t instances = 3;
         BookingFleet fleet(instances);
         const int steps = *rc::gen::inRange(5, 60);
--- a/test/membership-test.cc
+++ b/test/membership-test.cc
@@ -135,7 +135,7 @@
 // sync entries in each probe make up for lost updates.
 TEST_CASE("membership_ofNineUnderLossAtTheStart_findsEachOtherAlways")
 {
-    rc::prop("all see all", [](std::uint64_t seed) {
+    rc::prop("each instance knows all others", [](std::uint64_t seed) {
         FakeFleet fleet(instanceNames, seed);
         fleet.setLoss(0.05);
         fleet.run(15s);
--- a/test/warmup-test.cc
+++ b/test/warmup-test.cc
@@ -26,7 +26,7 @@
 // least loaded: the rate of a cold server is a limit for all instances together.
 TEST_CASE("warmupInterval_sendersThatAlwaysSend_stayWithinTheBoundTogether")
 {
-    rc::prop("in any second", [] {
+    rc::prop("rate in any second", [] {
         const int count = *rc::gen::inRange(1, 40);
         const double rate = *rc::gen::inRange(1, 80) / 10.0;
         const WarmupBound bound{1.5, static_cast<double>(*rc::gen::inRange(0, 5))};
@@ -58,7 +58,7 @@
 // instances learned that it is cold.
 TEST_CASE("tryAcquireWarmupRequest_lateColdUpdate_countsRequestsSentBefore")
 {
-    rc::prop("in any second since it turned cold", [] {
+    rc::prop("rate in any second since it became cold", [] {
         const WarmupBound bound{1.5, 3};
         const double rate = 2.4;
         const auto senders = names(3);
