--- a/support/safeguards.sh
+++ b/support/safeguards.sh
@@ -38,7 +38,7 @@
         "$copy/build/$folder/$program" "$testCase" --rng-seed 1 >"$copy/test.log" 2>&1; then
         echo "STILL PASSES    $name ($testCase)"; bad=1
     else
-        last=$(grep -E '^ *(RC_ASSERT|CHECK|CHECK_FALSE|REQUIRE|REQUIRE_FALSE|never:)' "$copy/test.log" \
+        last=$(grep -E '^ *(RC_ASSERT|CHECK|CHECK_FALSE|REQUIRE|REQUIRE_FALSE|timed out waiting until)' "$copy/test.log" \
             | head -1 | sed 's/^ *//')
         echo "fails without   $name ($testCase): $last"
     fi
