--- a/include/ibisnotch/server-table.h
+++ b/include/ibisnotch/server-table.h
@@ -88,7 +88,8 @@
     std::atomic<std::uint32_t> recoveryEpoch = 0; // rises each time the server has recovered
     std::atomic<Duration::rep> recoveredAt = 0; // when recoveryEpoch last rose
     std::atomic<Duration::rep> lastReceivedAt = 0; // when a byte of any response last arrived
-    // When the server last responded to any instance of the region, by the reports received so far.
+    // When the server last responded to any instance of the region, according to the reports
+    // received so far.
     std::atomic<Duration::rep> lastRespondedAt = 0;
     std::atomic<Duration::rep> waitingSince = 0; // when awaitedRequests last rose from zero
     // Status checks that this instance sent because the server was silent.
@@ -98,8 +99,8 @@
     std::atomic<bool> trialInProgress = false; // one request is testing the ejected server
 };
 
-// A server that the platform's list of instances shows as leaving. The list lags, so the server may
-// have been restarted since.
+// A server that the platform's list of instances shows as leaving. The list may be outdated: the
+// server may have been restarted since.
 struct LeavingNotice
 {
     std::string server;
@@ -198,7 +199,7 @@
 };
 
 // Returns the reported load plus an estimate of its change since the report: the requests that this
-// instance sent, less those that ended, times the traffic factor.
+// instance sent, less those that have finished, times the traffic factor.
 double correctedLoad(const ServerView &view, double trafficFactor);
 
 // Builds routing tables from the configuration, the platform's lists, load reports and the outcomes
--- a/include/ibisnotch/silence.h
+++ b/include/ibisnotch/silence.h
@@ -31,7 +31,8 @@
 bool receivedWithin(const ServerCounters &counters, Duration span, TimePoint now);
 
 // Returns whether no response of the server has made progress for longer than is usual at a working
-// server. This may rest on a single stream, so it doesn't prove that the server has failed.
+// server. The decision may be based on a single stream, so it doesn't prove that the server has
+// failed.
 bool isSilent(const ServerCounters &counters, TimePoint now);
 
 // Returns whether to send a status check to a silent server now, before its requests are ended, and
--- a/support/measure.sh
+++ b/support/measure.sh
@@ -53,7 +53,7 @@
         engine=127.0.0.1:20103
         [ $kind != lookup ] || engine=127.0.0.1:20105
         for concurrency in 1 16 64; do
-            echo "-- $kind, $concurrency under way"
+            echo "-- $kind, $concurrency in flight"
             $load run --entry $entry --engine $engine --kind $kind --concurrency $concurrency \
                 --seconds 5
         done
@@ -62,7 +62,7 @@
 
 section_bookings() {
     $load bookings --entry $entry --engine 127.0.0.1:20105 --store $storeAddress --count 300
-    echo "-- while the store loses the answer of every write"
+    echo "-- while the store loses the response to every write"
     setFault 20000 loseAnswers
     $load bookings --entry $entry --engine 127.0.0.1:20105 --store $storeAddress --count 100
     setFault 20000 none
@@ -113,11 +113,11 @@
 section_processor() {
     local kind tokens
     for tokens in 16 160; do
-        costDuring "streams of $tokens tokens, 64 under way" $load run --entry $entry \
+        costDuring "streams of $tokens tokens, 64 in flight" $load run --entry $entry \
             --engine 127.0.0.1:20103 --kind stream --concurrency 64 --tokens $tokens --seconds 10
         grep through "$folder/cost.log" | head -1
     done
-    costDuring "lookups, 64 under way" $load run --entry $entry --engine 127.0.0.1:20105 \
+    costDuring "lookups, 64 in flight" $load run --entry $entry --engine 127.0.0.1:20105 \
         --kind lookup --concurrency 64 --seconds 10
     grep through "$folder/cost.log" | head -1
 }
--- a/support/system.sh
+++ b/support/system.sh
@@ -3,7 +3,7 @@
 # nine entry instances in three regions, all on 127.0.0.1. Sourced by other scripts.
 #
 #   systemStart FOLDER    starts everything, logs and settings in FOLDER, and applies the example
-#   systemStop            stops everything gracefully; fails if an entry instance did not stop well
+#   systemStop            stops all gracefully; fails if an entry instance did not stop cleanly
 
 bin="${IBISNOTCH_BIN:-build}"
 example="${IBISNOTCH_EXAMPLE:-support/example}"
@@ -103,7 +103,7 @@
         kill -TERM "${systemPids[$name]}" 2>/dev/null || true
     done
     for name in "${entries[@]}"; do
-        stopProcess "$name" || { echo "$name did not stop well" >&2; bad=1; }
+        stopProcess "$name" || { echo "$name did not stop cleanly" >&2; bad=1; }
     done
     for name in "${!systemPids[@]}"; do
         stopProcess "$name" || true
