--- a/src/decide/active-config.cc
+++ b/src/decide/active-config.cc
@@ -96,7 +96,8 @@
     for (const std::string &site : delta.removedOverlays)
         document.overlays.erase(site);
     if (hashOf(document) != delta.resultHash)
-        return absl::DataLossError("the delta does not lead to the document that it names");
+        return absl::DataLossError(
+            "the resulting document does not have the hash that the delta states");
     return document;
 }
 
--- a/src/decide/booking.cc
+++ b/src/decide/booking.cc
@@ -167,7 +167,7 @@
                         parseClaimState(fields.at(2).get<std::string>()), fields.at(3)};
         return page;
     } catch (const nlohmann::json::exception &error) {
-        return absl::InvalidArgumentError(fmt::format("broken claim page: {}", error.what()));
+        return absl::InvalidArgumentError(fmt::format("malformed claim page: {}", error.what()));
     }
 }
 
--- a/test/booking-test.cc
+++ b/test/booking-test.cc
@@ -315,17 +315,18 @@
 {
     rc::prop("no instance accepts a key whose page may have been removed", [] {
         const WallTime createdAt(std::chrono::milliseconds(*rc::gen::inRange(0, 1'000'000'000)));
-        const Duration life = 24h;
+        const Duration lifetime = 24h;
         const auto skew = std::chrono::milliseconds(
             *rc::gen::inRange<long>(-clockTolerance / 1ms, clockTolerance / 1ms + 1));
         const CallerKey key{"k", createdAt};
         // The time at which an instance first removes the pages of this hour, by its own clock.
         const auto hour
             = std::chrono::floor<std::chrono::hours>(createdAt.time_since_epoch()).count();
-        const auto removedAt = WallTime(std::chrono::hours(hour + 1)) + life + 2 * clockTolerance;
-        RC_ASSERT(newestExpiredHour(removedAt - 1us, life) < hour);
-        RC_ASSERT(newestExpiredHour(removedAt, life) == hour);
-        RC_ASSERT(!isKeyAccepted(key, removedAt + skew, life));
+        const auto removedAt
+            = WallTime(std::chrono::hours(hour + 1)) + lifetime + 2 * clockTolerance;
+        RC_ASSERT(newestExpiredHour(removedAt - 1us, lifetime) < hour);
+        RC_ASSERT(newestExpiredHour(removedAt, lifetime) == hour);
+        RC_ASSERT(!isKeyAccepted(key, removedAt + skew, lifetime));
     });
 }
 
@@ -364,17 +365,17 @@
         TimePoint now;
         for (int i = 0; i < 80; ++i) {
             now += std::chrono::minutes(*rc::gen::inRange(0, 20));
-            const int what = *rc::gen::inRange(0, 8);
-            if (what == 0 || known.empty()) {
+            const int action = *rc::gen::inRange(0, 8);
+            if (action == 0 || known.empty()) {
                 if (auto key = keys->issue("c1", now, random))
                     known.push_back(*key);
                 continue;
             }
             const std::string key = *rc::gen::elementOf(known);
-            if (what == 1) {
+            if (action == 1) {
                 keys = std::make_unique<IssuedKeys>("a", ++incarnation, IssuedKeys::Limits{});
                 sending.clear();
-            } else if (what <= 4) {
+            } else if (action <= 4) {
                 const auto parsed = std::get<IssuedKey>(*parseBookingKey(key));
                 const auto customer
                     = *rc::gen::weightedElement<std::string>({{5, "c1"}, {1, "c2"}});
@@ -384,10 +385,10 @@
                     sending.insert(key);
                 }
             } else if (sending.erase(key) > 0) {
-                if (what == 5) {
+                if (action == 5) {
                     --mayHaveRun[key];
                     keys->finishNotRun(key);
-                } else if (what == 6) {
+                } else if (action == 6) {
                     keys->finishDone(key, 200, "response");
                 } else {
                     keys->finishUnknown(key);
--- a/test/placement-test.cc
+++ b/test/placement-test.cc
@@ -40,9 +40,9 @@
     {
         if (m_sentOrders.empty())
             return;
-        const auto at = m_sentOrders.begin() + static_cast<long>(index % m_sentOrders.size());
-        const PlacementOrder order = *at;
-        m_sentOrders.erase(at);
+        const auto position = m_sentOrders.begin() + static_cast<long>(index % m_sentOrders.size());
+        const PlacementOrder order = *position;
+        m_sentOrders.erase(position);
         ++m_delivered;
         std::uint64_t &highest = m_highestFences[order.server];
         if (m_servers[order.server].checksFencing && !acceptsFence(highest, order.fence))
--- a/test/usage-cap-test.cc
+++ b/test/usage-cap-test.cc
@@ -183,8 +183,8 @@
             if (other.region != node.region)
                 continue;
             send(node, other,
-                 [this, to = other.usage, name = node.name, uses = usage.localUsage(now)] {
-                     to->onInstanceUsage(name, uses, now);
+                 [this, to = other.usage, name = node.name, usages = usage.localUsage(now)] {
+                     to->onInstanceUsage(name, usages, now);
                  });
             return;
         }
@@ -197,13 +197,14 @@
         for (Node &other : m_nodes) {
             if (&other == &node)
                 continue;
-            std::vector<RegionUsage> uses = usage.regionUsages(now);
+            std::vector<RegionUsage> usages = usage.regionUsages(now);
             if (other.region != node.region)
-                std::erase_if(uses,
-                              [&](const RegionUsage &use) { return use.region != node.region; });
-            send(node, other, [this, to = other.usage, uses] {
-                for (const RegionUsage &use : uses)
-                    to->onRegionUsage(use, now);
+                std::erase_if(usages, [&](const RegionUsage &regionUsage) {
+                    return regionUsage.region != node.region;
+                });
+            send(node, other, [this, to = other.usage, usages] {
+                for (const RegionUsage &regionUsage : usages)
+                    to->onRegionUsage(regionUsage, now);
             });
         }
     }
--- a/test/warmup-test.cc
+++ b/test/warmup-test.cc
@@ -67,18 +67,18 @@
         std::vector<ServerCounters> counters(senders.size());
         std::deque<TimePoint> sent;
         // Each sender sends up to two requests before it learns that the server is cold.
-        std::vector<int> sentUnaware(senders.size(), 0);
+        std::vector<int> sentBeforeKnown(senders.size(), 0);
         for (TimePoint now{1s}; now < TimePoint{6s}; now += 10ms) {
             while (!sent.empty() && now - sent.front() > 1s)
                 sent.pop_front();
             for (std::size_t i = 0; i < senders.size(); ++i) {
                 const auto interval = warmupInterval(rate, bound, senders, senders[i], "server");
                 const bool sends = now < knownAt
-                    ? now >= coldAt && sentUnaware[i] < 2 && *rc::gen::inRange(0, 4) == 0
+                    ? now >= coldAt && sentBeforeKnown[i] < 2 && *rc::gen::inRange(0, 4) == 0
                     : interval && tryAcquireWarmupRequest(counters[i], *interval, knownAt, now);
                 if (!sends)
                     continue;
-                sentUnaware[i] += now < knownAt ? 1 : 0;
+                sentBeforeKnown[i] += now < knownAt ? 1 : 0;
                 recordSent(counters[i], now);
                 sent.push_back(now);
             }
