--- a/test/prefix-follower-test.cc
+++ b/test/prefix-follower-test.cc
@@ -323,14 +323,15 @@
 {
     rc::prop("the followed keys are the store's", [] {
         StoreModel store;
-        Followed one;
+        Followed followed;
         TimePoint now{1s};
-        const auto step = [&](bool calm) {
+        const auto step = [&](bool storeWorks) {
             now += 2s;
-            const auto call = one.follower.nextCall(now);
+            const auto call = followed.follower.nextCall(now);
             RC_ASSERT(call.has_value());
             const StorePage page = store.answer(*call);
-            one.apply(one.follower.onResponse(calm ? page : withRandomFailure(page), now));
+            followed.apply(
+                followed.follower.onResponse(storeWorks ? page : withRandomFailure(page), now));
         };
         const int rounds = *rc::gen::inRange(5, 40);
         for (int i = 0; i < rounds; ++i) {
@@ -339,7 +340,7 @@
         }
         for (int i = 0; i < 8; ++i)
             step(true);
-        RC_ASSERT(one.keys == store.values());
+        RC_ASSERT(followed.keys == store.values());
     });
 }
 
@@ -353,7 +354,7 @@
         Followed listener;
         relay.follower.setRole(FollowRole::relay);
         std::vector<RangeUpdate> inTransit;
-        std::optional<StorePage> late; // the response to a call of the listener
+        std::optional<StorePage> listenerResponse; // not yet delivered
         TimePoint now{1s};
         const auto relayStep = [&] {
             const auto call = relay.follower.nextCall(now);
@@ -367,12 +368,12 @@
                 inTransit.push_back(std::move(update));
         };
         const auto listenerStep = [&] {
-            if (!late) {
+            if (!listenerResponse) {
                 if (const auto call = listener.follower.nextCall(now))
-                    late = withRandomFailure(store.answer(*call));
+                    listenerResponse = withRandomFailure(store.answer(*call));
             } else if (*rc::gen::inRange(0, 2) == 0) {
-                listener.apply(listener.follower.onResponse(*late, now));
-                late.reset();
+                listener.apply(listener.follower.onResponse(*listenerResponse, now));
+                listenerResponse.reset();
             }
         };
         const int rounds = *rc::gen::inRange(5, 60);
@@ -388,8 +389,8 @@
             if (*rc::gen::inRange(0, 3) > 0)
                 inTransit.erase(inTransit.begin() + static_cast<std::ptrdiff_t>(index));
         }
-        if (late)
-            listener.apply(listener.follower.onResponse(*late, now));
+        if (listenerResponse)
+            listener.apply(listener.follower.onResponse(*listenerResponse, now));
         for (int i = 0; i < 8; ++i) {
             now += 3s;
             if (const auto call = listener.follower.nextCall(now))
@@ -429,15 +430,17 @@
                                      Followed{PrefixFollower(limits), {}}};
         std::vector<RangeUpdate> inTransit;
         TimePoint now{1s};
-        const auto callStore = [&](Followed &one, bool calm) {
-            const auto call = one.follower.nextCall(now);
+        const auto callStore = [&](Followed &followed, bool storeWorks) {
+            const auto call = followed.follower.nextCall(now);
             if (!call)
                 return;
             const StorePage page = store.answer(*call);
-            one.apply(one.follower.onResponse(calm ? page : withRandomFailure(page), now));
+            followed.apply(
+                followed.follower.onResponse(storeWorks ? page : withRandomFailure(page), now));
         };
-        const auto requestUpdate = [&](Followed &one, const Followed &other) {
-            const std::uint64_t known = one.follower.isWatching() ? one.follower.asOf() : 0;
+        const auto requestUpdate = [&](Followed &followed, const Followed &other) {
+            const std::uint64_t known
+                = followed.follower.isWatching() ? followed.follower.asOf() : 0;
             return other.follower.updateSince("", known);
         };
         const int rounds = *rc::gen::inRange(5, 60);
