--- a/src/decide/usage-cap.cc
+++ b/src/decide/usage-cap.cc
@@ -53,15 +53,16 @@
     return decay(perSecond, std::max(now - at, Duration(0)), timeConstant);
 }
 
-// Corrects the rate of an instance that has run for less than the averaging time. Its rates would
-// be too low, in particular after a restart of all instances, when all callers return at once.
+// Returns the rate, corrected if the instance has run for less than the averaging time. Its rates
+// would otherwise be too low, in particular after a restart of all instances, when all callers
+// return at once.
 double UsageCaps::rateOf(const Rate &rate, TimePoint now) const
 {
-    constexpr double minKnownShare = 0.6;
+    constexpr double minCoveredShare = 0.6;
     const Duration age = m_startedAt ? now - *m_startedAt : m_limits.startupTime;
-    const double known = 1 - std::exp(-seconds(age) / seconds(m_limits.rateTimeConstant));
+    const double coveredShare = 1 - std::exp(-seconds(age) / seconds(m_limits.rateTimeConstant));
     return std::max(0.0, rate.value(m_limits.rateTimeConstant, now))
-        / std::max(known, minKnownShare);
+        / std::max(coveredShare, minCoveredShare);
 }
 
 void UsageCaps::setCaps(const std::map<std::string, Customer> &customers)
