--- a/src/decide/forward-path.cc
+++ b/src/decide/forward-path.cc
@@ -32,7 +32,7 @@
     for (const absl::string_view part : absl::StrSplit(input, ',')) {
         const std::vector<std::string> fields = absl::StrSplit(part, '@');
         if (fields.size() != 2 || fields[0].empty() || fields[1].empty())
-            return makeStatus(ResultCode::malformedRequest, "malformed forward path");
+            return makeStatus(ResultCode::malformedRequest, "broken forward path");
         path.push_back({fields[0], fields[1]});
     }
     return path;
@@ -55,7 +55,7 @@
     extended.push_back(self);
     if (alreadyVisited || path.size() > maxHops || regionChanges(extended) > maxRegionChanges)
         return makeStatus(ResultCode::loopRefused,
-                          "the request was forwarded already by " + formatForwardPath(path));
+                          "the request came by " + formatForwardPath(path));
     return absl::OkStatus();
 }
 
