--- a/src/entry/control-loads.cc
+++ b/src/entry/control-loads.cc
@@ -152,6 +152,7 @@
     for (const ServerView &view : m_silentServers.dueForHealthCheck()) {
         if (!isResponsibleFor(view.server.name, checkersPerServer))
             continue;
+        // The response also shows whether the server is cold.
         const ColdCheck check{view, view.counters->possiblyColdSent};
         sendBuffered(m_client, makeRegionHealthCheck(m_state, m_protocol, view.server),
                      [this, check](const BufferedResponse &reply) {
--- a/src/entry/control.cc
+++ b/src/entry/control.cc
@@ -15,8 +15,8 @@
 
 constexpr Duration tickPeriod = std::chrono::milliseconds(100);
 constexpr Duration regionReportPeriod = std::chrono::milliseconds(500);
-// With 48 changed servers in each report, an instance receives 3.6 KB per second. A traffic peak
-// can fill a region within one second.
+// A traffic peak can fill a region within one second, so loads are sent several times a second.
+// With 48 changed servers in each report, an instance receives 3.6 KB per second.
 constexpr Duration loadReportPeriod = std::chrono::milliseconds(250);
 constexpr Duration usageReportPeriod = std::chrono::milliseconds(250);
 constexpr Duration pollPeriod = std::chrono::milliseconds(500);
@@ -25,7 +25,7 @@
 constexpr std::size_t maxMarksPerMessage = 8;
 constexpr int gossipFanout = 4;
 // Long enough that one burst of packet loss does not drop both datagrams, short enough for the
-// second to be of use.
+// second one to arrive in time.
 constexpr Duration resendDelay = std::chrono::milliseconds(20);
 
 Member selfMember(const EntryState &state)
--- a/src/entry/control.h
+++ b/src/entry/control.h
@@ -49,8 +49,8 @@
     std::size_t regionSize() const;
     // Sends the update to all other instances of the region; twice if it contains changes.
     void broadcastRangeUpdate(RangeUpdate update);
-    // Requests the changes of ranges from another instance. Calls `done` with nothing if it does
-    // not reply.
+    // Requests the changes of ranges from another instance. Calls `done` with std::nullopt if it
+    // does not reply.
     void requestRanges(const std::string &gossipAddress, std::vector<RangeRequest> requests,
                        std::function<void(std::optional<PeerReply>)> done);
     // Publishes the routing table and gossips with a few random members without waiting for the
@@ -108,12 +108,12 @@
     SilentServerMonitor m_silentServers;
     ColdServerMonitor m_coldServers;
     const Protocol &m_protocol;
-    std::size_t m_loadCursor = 0;
-    std::size_t m_pollCursor = 0;
-    bool m_pullInProgress = false;
+    std::size_t m_loadCursor = 0; // position of the next server whose load is gossiped
+    std::size_t m_pollCursor = 0; // position of the next server to poll
+    bool m_pullInProgress = false; // of a configuration from a peer
     std::uint64_t m_rejectedVersion = 0; // the newest configuration version found invalid here
-    bool m_routingDirty = true;
-    TimePoint m_lastPublishAt{};
+    bool m_routingDirty = true; // the published routing table is outdated
+    TimePoint m_lastPublishAt{}; // of the routing table
     TimePoint m_nextPoll{};
     TimePoint m_nextRegionReport{};
     TimePoint m_nextLoadReport{};
--- a/src/entry/dispatch-end.cc
+++ b/src/entry/dispatch-end.cc
@@ -65,7 +65,8 @@
         settleUnknown();
         return finish(ResultCode::callerLeft);
     }
-    // The issuer cannot be reached and may have sent the booking of this key before.
+    // The issuer cannot be reached. It may have sent a booking with this key before, so the result
+    // must not be "not run".
     if (m_forwardedToIssuer && certainlyNotRun(outcome))
         return refuse({ResultCode::issuerGone, "", {}});
     if (certainlyNotRun(outcome))
@@ -80,8 +81,8 @@
 void Dispatch::refuse(const Refusal &wanted)
 {
     Refusal refusal = wanted;
-    // An earlier attempt of this request may have run. A refusal that is only true of the last
-    // attempt would tell the caller that the request did not run at all.
+    // An earlier attempt of this request may have run. A refusal that holds for the last attempt
+    // only would tell the caller that the request did not run at all.
     if (m_mayHaveRun && resultInfo(refusal.code).runState == RunState::notRun)
         refusal.code = m_exchange->service->idempotent ? ResultCode::backendFailed
                                                        : ResultCode::outcomeUnknown;
@@ -158,10 +159,11 @@
     if (const auto &remote = m_routeInputs.remoteLoad)
         text += fmt::format(";{}:{:.0f}/{:.0f}+{:.0f},age:{}", remote->region, remote->outstanding,
                             remote->slots, remote->readDelaySeconds * toMs, remote->ageMs);
-    const double seen = m_routeInputs.remoteLoad ? m_routeInputs.remoteLoad->eventIntervalSeconds
-                                                 : local.eventIntervalSeconds;
-    if (seen > 0 && m_routeInputs.maxEventIntervalSeconds > 0)
-        text += fmt::format(";pace:{:.0f}/{:.0f}", seen * toMs,
+    const double measured = m_routeInputs.remoteLoad
+        ? m_routeInputs.remoteLoad->eventIntervalSeconds
+        : local.eventIntervalSeconds;
+    if (measured > 0 && m_routeInputs.maxEventIntervalSeconds > 0)
+        text += fmt::format(";pace:{:.0f}/{:.0f}", measured * toMs,
                             m_routeInputs.maxEventIntervalSeconds * toMs);
     if (m_routeInputs.serverSlots > 0)
         text += fmt::format(";server:{:.0f}/{:.0f}+{:.0f},age:{}", m_routeInputs.serverLoad,
--- a/src/entry/dispatch-plan.cc
+++ b/src/entry/dispatch-plan.cc
@@ -13,7 +13,8 @@
 namespace {
 
 constexpr double noServerRetrySeconds = 2;
-// The check of a possibly cold server takes a tick of the control loop and one network round trip.
+// The health check of a possibly cold server takes up to one tick of the control loop and one
+// network round trip.
 constexpr Duration coldCheckWait = std::chrono::milliseconds(30);
 constexpr int maxColdCheckWaits = 16;
 // Two rounds of probes. A member that joins receives the other members in its first round.
@@ -32,7 +33,7 @@
     std::erase_if(candidates, [&](const Candidate &candidate) {
         return !maySendWhileCold(table, *candidate.view);
     });
-    // A request that may run only once is lost if the ejected server on trial still fails.
+    // An ejected server on trial may still fail, and a request that may run only once is then lost.
     const bool othersUsable
         = std::any_of(candidates.begin(), candidates.end(), [](const Candidate &one) {
               return one.view->status == ServerStatus::usable;
@@ -66,8 +67,8 @@
     // An instance that has just started doesn't yet know the other senders.
     if (now < m_state.startedAt + membershipSettleTime)
         return false;
-    const auto pause = warmupIntervalOf(table, view);
-    return pause && canSendWarmupRequest(*view.counters, *pause, view.coldSince, now);
+    const auto interval = warmupIntervalOf(table, view);
+    return interval && canSendWarmupRequest(*view.counters, *interval, view.coldSince, now);
 }
 
 std::optional<Duration> Dispatch::warmupIntervalOf(const RoutingTable &table,
@@ -92,8 +93,9 @@
     return {lastSentAt, *share > 0, canSendPossiblyCold(counters, *share, *since)};
 }
 
-// Removes servers that may have become cold and have not been checked since. While neither the
-// store nor a peer reports which servers are cold, a burst could reach such a server.
+// Removes the servers that may have become cold, unless a health check since has found them warm.
+// While neither the store nor a peer reports which servers are cold, a burst could otherwise reach
+// such a server.
 bool Dispatch::keepReadyCandidates(const RoutingTable &table,
                                    std::vector<Candidate> &candidates) const
 {
@@ -120,8 +122,8 @@
 {
     const TimePoint now = m_state.clock.now();
     if (now < view.coldUntil) {
-        const auto pause = warmupIntervalOf(table, view);
-        return pause && tryAcquireWarmupRequest(*view.counters, *pause, view.coldSince, now);
+        const auto interval = warmupIntervalOf(table, view);
+        return interval && tryAcquireWarmupRequest(*view.counters, *interval, view.coldSince, now);
     }
     const auto since = possiblyColdSince(table.list, view, now);
     if (!since)
@@ -164,7 +166,7 @@
     if (!candidates.empty())
         input.localRunningPerServer
             = input.localLoad.outstanding / static_cast<double>(candidates.size());
-    // A caller that has part of its stream is not rejected for the rest.
+    // A request that resumes a stream is not rejected, because its caller has part of the response.
     admit = admit && m_exchange->lastEventId.empty();
     input.localRejects = admit && !m_admitted
         && m_state.admission.decide(admissionInput(input.localLoad, false), m_state.random).code
--- a/src/entry/dispatch.cc
+++ b/src/entry/dispatch.cc
@@ -102,7 +102,7 @@
     }
     if (const auto *wait = std::get_if<PlanAgain>(&planned)) {
         ++m_coldCheckWaits;
-        trace("waiting for the check of a server that may be cold");
+        trace("waiting for the health check of a possibly cold server");
         return m_client.postAfter(wait->time, [self = shared_from_this()] { self->route(); });
     }
     const Target &target = std::get<Target>(planned);
@@ -193,21 +193,22 @@
         && decideRetry(retryInput(AttemptOutcome::silent, m_runs + 1, hasStarted && !canResume))
             == RetryDecision::retry
         && m_state.retryBudget.canAcquire(m_exchange->customer->name, loadKey(*m_exchange));
-    // The request cannot be sent elsewhere, so it would certainly fail if this attempt ended. A
-    // server that responds to other requests may still respond to this one.
+    // The request may not be sent to another server, so it would certainly fail if this attempt
+    // ended. A server that responds to other requests may still respond to this one.
     if (!mayMove)
         return !overdue || !unresponsive;
     if (unresponsive)
         return false;
-    // Another server has to start from the beginning, after all requests that wait there already.
-    const bool timeToMove = remaining() >= timeout / 2;
+    // Another server has to start from the beginning, after all requests that already wait there.
+    const bool hasTimeToMove = remaining() >= timeout / 2;
     // A stream that pauses usually continues by itself, and is lost if no other server accepts it.
     const bool callerHasPart = hasStarted || m_streamStarted;
     const bool silent = !callerHasPart && isSilent(*target.counters, now);
     const double maxUtilization
         = callerHasPart ? maxUtilizationForStreams : maxUtilizationForOthers;
-    const bool moves = timeToMove && (overdue || silent) && hasCapacityElsewhere(maxUtilization);
-    return !moves;
+    const bool shouldMove
+        = hasTimeToMove && (overdue || silent) && hasCapacityElsewhere(maxUtilization);
+    return !shouldMove;
 }
 
 // Returns true if a server in this region, or another region, has enough capacity to accept a
@@ -425,8 +426,8 @@
 }
 
 // A server that cannot be reached may just have crashed on a copy of this request that came through
-// another instance. The next attempt is delayed until the crash mark arrives, which it checks;
-// otherwise this copy could crash a third server.
+// another instance. The next attempt is delayed until that instance's crash mark has arrived, so
+// that checkQuarantine() finds it; otherwise this copy could crash a third server.
 void Dispatch::routeRetry(AttemptOutcome outcome)
 {
     if (outcome != AttemptOutcome::notConnected)
@@ -521,8 +522,9 @@
     return true;
 }
 
-// Returns true if another region has no capacity after all, because its reported load is up to
-// half a second old. The request did not run there, so the local region may still accept it.
+// Returns true if another region rejected the request for lack of capacity. This happens because
+// its reported load is up to half a second old. The request did not run there, so the local region
+// may still accept it.
 bool Dispatch::isRejectedByRemoteRegion(const Target &target, const Attempt &attempt) const
 {
     const ResultCode code = attempt.reader().resultCode();
--- a/src/entry/dispatch.h
+++ b/src/entry/dispatch.h
@@ -30,8 +30,10 @@
 {
     RegionLoad localLoad;
     std::optional<RegionLoad> remoteLoad; // of the chosen region, if it is another one
-    double maxEventIntervalSeconds = 0; // highest acceptable between stream events; 0 if unknown
-    double serverLoad = 0; // of the chosen server, including description it has not yet reported
+    // Longest acceptable interval between stream events; 0 if unknown.
+    double maxEventIntervalSeconds = 0;
+    // Of the chosen server, including requests that its last report does not cover yet.
+    double serverLoad = 0;
     double serverSlots = 0; // of the chosen server; 0 if none was chosen
     double serverDelay = 0; // seconds until the chosen server starts to read a prompt sent now
     double tokensPerMs = 0; // prompt tokens that servers of its pool read per ms; 0 if unknown
@@ -61,17 +63,23 @@
     void forwardToIssuer(const IssuedKey &key);
     void claimCallerKey(const CallerKey &key);
     void onClaim(const ClaimResult &result);
+    // Record the outcome under the booking's key: the booking was answered, certainly did not run,
+    // or may have run.
     void settleDone(int status, const std::string &responseBody);
     void settleNotRun();
     void settleUnknown();
 
     // Choice of a target.
-    struct PlanAgain // after this time
+
+    // No target can be chosen yet; the choice is repeated after `time`.
+    struct PlanAgain
     {
         Duration time{};
         bool operator==(const PlanAgain &) const = default;
     };
     using Plan = std::variant<Target, Refusal, PlanAgain>;
+    // Chooses the target of the next attempt. If `admit` is true, a request that has not been
+    // admitted before must pass admission first.
     Plan plan(bool admit);
     std::vector<Candidate> candidatesIn(const RoutingTable &table) const;
     double sharedReadSeconds(std::span<const Candidate> candidates) const;
@@ -100,6 +108,8 @@
     bool mayWaitForCapacity() const;
     void runAfterCapacityPause(std::function<void()> next);
     void send(const Target &target);
+    // Returns false if the request is quarantined, or held while a trial of it is running. Starts
+    // the trial if it is due.
     bool checkQuarantine();
     OutgoingRequest makeRequest(const Target &target) const;
     // Called by the current attempt.
@@ -109,8 +119,8 @@
     // Returns the prompt tokens that the server has to read if it has the shared ones cached.
     std::int64_t tokensToRead() const;
     void recordFirstByte(const Target &target);
-    // Returns true if waiting on for an attempt that has received nothing since `lastReceivedAt`
-    // is better than trying another server.
+    // Returns true if an attempt that has received nothing since `lastReceivedAt` should continue,
+    // false if it should end so that another server can be tried.
     bool shouldKeepWaiting(const Target &target, const ResponseReader &reader,
                            TimePoint lastReceivedAt) const;
     bool hasCapacityElsewhere(double maxUtilization) const;
@@ -148,13 +158,12 @@
     HttpClient &m_client;
 
     SendRight m_sendRight = SendRight::none;
-    std::uint64_t m_claimAttempt
-        = 0; // identifies this request's claim // identifies this request's claim
+    std::uint64_t m_claimAttempt = 0; // identifies this request's claim
     std::string m_claimPage;
     std::string m_claimId;
     double m_admissionDraw; // random number in [0, 1) for the admission of this request
     bool m_admitted = false;
-    bool m_forwardedToIssuer = false; // of the booking's key
+    bool m_forwardedToIssuer = false; // to the instance that issued the booking's key
     // True once an attempt may have run and ended without a response. From then on the caller must
     // not be told "not run".
     bool m_mayHaveRun = false;
@@ -162,7 +171,7 @@
     bool m_forwardedToRegion = false; // an attempt went to another region that did not reject it
     bool m_stayInRegion = false; // another region rejected the request
     int m_coldCheckWaits = 0; // times that the request waited for checks of possibly cold servers
-    int m_attempts = 0;
+    int m_attempts = 0; // all attempts, also those that did not run
     int m_runs = 0; // attempts that may have run
     std::weak_ptr<Attempt> m_currentAttempt;
     bool m_callerLeft = false; // the caller closed its connection
@@ -172,11 +181,10 @@
     bool m_streamStarted = false; // the status and headers of a stream were sent to the caller
     // A complete error response of a backend server, sent to the caller if no attempt succeeds.
     std::optional<HttpResponse> m_serverError;
-    std::set<std::string>
-        m_triedTargets; // names of servers and peers // names of servers and peers
+    std::set<std::string> m_triedTargets; // names of servers and peers
     std::string m_servedBy;
     TimePoint m_attemptStartedAt{};
-    double m_cost = 0;
+    double m_cost = 0; // of all attempts: seconds at a server times the server's cost
     std::optional<TimePoint> m_firstByteAt;
     RouteInputs m_routeInputs;
     std::optional<ResponseLoad> m_responseLoad;
--- a/src/entry/filters.cc
+++ b/src/entry/filters.cc
@@ -311,8 +311,8 @@
     }
 
 private:
-    // Only the instance that acquired the right to send may transfer it, and only to the peers'
-    // port.
+    // The right to send is accepted only on the port for peers, and only from the instance that
+    // acquired it, which must be the last one in the forward path.
     static bool isSendRightAcquired(const Exchange &exchange)
     {
         const auto by = exchange.request.headers.get("X-Ibisnotch-Cleared-By");
--- a/src/entry/range-source.cc
+++ b/src/entry/range-source.cc
@@ -12,8 +12,8 @@
 constexpr std::size_t maxInstancesAllWatching = 5;
 // One of them may be cut off from the store; updates then still arrive from the other.
 constexpr std::size_t relaysPerRegion = 2;
-// The store notifies all watchers in a region within milliseconds of each other, and a little later
-// where it gathers changes.
+// The store notifies all watchers in a region within milliseconds of each other, or a little later
+// where it batches changes.
 constexpr Duration peerRequestDelay = std::chrono::milliseconds(250);
 // Values of the log field "source": where a change was received from.
 constexpr std::string_view sourceStore = "store";
@@ -156,6 +156,7 @@
     if (range.peerRequestPending)
         return;
     range.peerRequestPending = true;
+    // While the range is being listed, no revision is known completely; 0 requests the full range.
     const bool watching = range.follower.isWatching();
     const std::uint64_t known = watching ? range.follower.asOf() : 0;
     logLine(LogPart::store, LogLevel::info, "Requested missed changes from a peer.",
--- a/src/entry/range-source.h
+++ b/src/entry/range-source.h
@@ -76,7 +76,7 @@
         std::string prefix;
         std::uint32_t id = 0;
         PrefixFollower follower;
-        bool wasReachable = true;
+        bool wasReachable = true; // whether the store was reachable when last logged
         FollowRole role = FollowRole::alone;
         bool peerRequestPending = false; // a request for missed changes awaits its reply
     };
