--- a/src/entry/claim-service.cc
+++ b/src/entry/claim-service.cc
@@ -10,7 +10,7 @@
 
 constexpr Duration tickPeriod = std::chrono::milliseconds(100);
 
-PageWriteResult pageWriteEnd(StoreStatus status)
+PageWriteResult pageWriteResult(StoreStatus status)
 {
     switch (status) {
     case StoreStatus::ok:
@@ -108,13 +108,13 @@
         ClaimPageWriter &writer = m_pages[name].writer;
         const auto page
             = parseClaimPage(read.status == StoreStatus::notFound ? "{\"claims\":{}}" : read.value);
-        const bool good
+        const bool readable
             = (read.status == StoreStatus::ok || read.status == StoreStatus::notFound) && page.ok();
-        if (good)
+        if (readable)
             writer.onRead(call, read.index, *page);
         else
             writer.onReadFailed(call, m_clock.now());
-        if (!good)
+        if (!readable)
             logLine(LogPart::claims, LogLevel::warn, "Claim page cannot be read.",
                     {{"page", name}});
         advance(name);
@@ -125,7 +125,7 @@
 {
     m_store.compareAndSet(name, action.expectedIndex, action.value,
                           [this, name, call = action.call](const StoreWrite &write) {
-                              m_pages[name].writer.onWritten(call, pageWriteEnd(write.status),
+                              m_pages[name].writer.onWritten(call, pageWriteResult(write.status),
                                                              write.index, m_clock.now());
                               if (write.status == StoreStatus::unknown)
                                   logLine(LogPart::claims, LogLevel::warn,
--- a/src/entry/claim-service.h
+++ b/src/entry/claim-service.h
@@ -32,13 +32,15 @@
     void settle(const std::string &page, std::uint64_t attempt, const std::string &claimId,
                 ClaimState state, int httpStatus);
 
-    // Returns true if outcomes are still to be written. Blocks until the loop has checked.
+    // Returns true if claims or outcomes are still in progress. Blocks until the event loop, which
+    // must be another thread's, has replied.
     bool hasPendingOutcomes();
 
 private:
     struct Page
     {
         ClaimPageWriter writer;
+        // Callbacks of the claims in progress, by attempt.
         std::map<std::uint64_t, std::function<void(const ClaimResult &)>> waiting;
         bool tickScheduled = false;
     };
--- a/src/entry/cold-server-monitor.cc
+++ b/src/entry/cold-server-monitor.cc
@@ -7,8 +7,9 @@
 
 namespace {
 
-// A server that has responded is checked again with the next tick, because in a burst a warm
-// server receives within a quarter of a second what a cold one sustains in a whole one.
+// A check without a response is repeated after this time. A server that has responded is checked
+// again with the next tick, because in a burst a warm server receives within a quarter of a second
+// what a cold one sustains in a whole one.
 constexpr Duration checkTimeout = std::chrono::milliseconds(500);
 
 } // namespace
@@ -30,10 +31,10 @@
             continue;
         const auto share = possiblyColdShare(*table, m_state.settings.warmup, m_state.settings.name,
                                              view.server);
-        const bool mayBeSentTo = share && *share > 0 && needsHealthCheck(*view.counters, *since);
+        const bool needsCheck = share && *share > 0 && needsHealthCheck(*view.counters, *since);
         TimePoint &next = nextCheck[view.server.name];
         next = m_nextCheck[view.server.name];
-        if (now < next || !(mayBeSentTo || isResponsible(view)))
+        if (now < next || !(needsCheck || isResponsible(view)))
             continue;
         next = now + checkTimeout;
         due.push_back({view, view.counters->possiblyColdSent});
--- a/src/entry/cold-server-monitor.h
+++ b/src/entry/cold-server-monitor.h
@@ -18,7 +18,7 @@
 struct ColdCheck
 {
     ServerView view;
-    std::uint32_t sentWhenStarted = 0; // the counter possiblyColdSent when the check was sent
+    std::uint32_t sentWhenStarted = 0; // value of possiblyColdSent when the check was sent
 };
 
 // Not thread safe; used on the control loop only.
--- a/src/entry/document-source.h
+++ b/src/entry/document-source.h
@@ -29,8 +29,8 @@
     EntryState &m_state;
     Control &m_control;
     Store &m_store;
-    std::uint64_t m_configIndex = 0;
-    std::uint64_t m_leavingListIndex = 0;
+    std::uint64_t m_configIndex = 0; // the key's store index as last read; 0 before the first read
+    std::uint64_t m_leavingListIndex = 0; // the same for the list
     bool m_watchingConfig = false;
     bool m_watchingLeavingList = false;
     TimePoint m_nextClaimSweep{};
--- a/src/entry/placement-controller.cc
+++ b/src/entry/placement-controller.cc
@@ -53,12 +53,12 @@
         return false;
     // Only one member of the region tries to acquire the lease, to save store requests.
     const auto members = m_state.members.read();
-    const bool first
+    const bool isFirst
         = members && std::none_of(members->begin(), members->end(), [this](const Member &member) {
               return member.region == m_state.settings.region && member.state == MemberState::alive
                   && member.name < m_state.settings.name;
           });
-    return first
+    return isFirst
         && std::any_of(config->servers.begin(), config->servers.end(),
                        [](const auto &entry) { return entry.second.placement.has_value(); });
 }
--- a/src/entry/protocol.h
+++ b/src/entry/protocol.h
@@ -85,9 +85,9 @@
     virtual HttpResponse makeRefusal(const Exchange &exchange, const Refusal &refusal,
                                      const std::string &servedBy) const = 0;
     // Returns the headers to send to the caller with a response that a backend server or a peer
-    // sent with the headers `given`.
+    // sent with the headers `received`.
     virtual Headers makeResponseHeaders(const Exchange &exchange, ResultCode code,
-                                        const Headers &given,
+                                        const Headers &received,
                                         const std::string &servedBy) const = 0;
     // Returns the last event of a stream that is aborted; empty if the protocol has none.
     virtual std::string makeStreamError(const Exchange &exchange, ResultCode code,
@@ -101,7 +101,8 @@
     virtual std::unique_ptr<ResponseReader> makeReader(const Exchange &exchange,
                                                        bool fromPeer) const = 0;
 
-    // Makes a request that checks whether a backend server works.
+    // Makes a health check, which shows whether a backend server works. The server may let it wait
+    // for a slot.
     virtual OutgoingRequest makeHealthCheck(const FleetConfig &config,
                                             const BackendServer &server) const = 0;
     // Makes a status check, which the server answers even while all its slots are in use.
--- a/src/entry/silent-server-monitor.cc
+++ b/src/entry/silent-server-monitor.cc
@@ -14,8 +14,8 @@
 constexpr Duration ignoreAfterStall = std::chrono::milliseconds(500);
 // If nothing arrives from any server for this long, the fault is on this instance's side.
 constexpr Duration instanceCutOffAfter = std::chrono::milliseconds(300);
-// On average a recovered server is in use again after half of this period. The platform counts
-// every health check.
+// A recovered server is in use again after half of this period on average. A shorter period would
+// cost more calls, because the platform counts every health check.
 constexpr Duration checkPeriod = std::chrono::milliseconds(500);
 
 std::string timeSinceReceived(const ServerCounters &counters, TimePoint now)
--- a/src/entry/silent-server-monitor.h
+++ b/src/entry/silent-server-monitor.h
@@ -54,7 +54,7 @@
     EntryState &m_state;
     const Protocol &m_protocol;
     TimePoint m_lastTick{}; // TimePoint{} before the first tick
-    TimePoint m_ignoreUntil{};
+    TimePoint m_ignoreUntil{}; // silence is ignored until then, because the event loop was stalled
     std::map<std::string, SilentServer> m_silent; // by server name
 };
 
