--- a/src/entry/exchange.h
+++ b/src/entry/exchange.h
@@ -91,12 +91,12 @@
     return exchange.pool.empty() ? exchange.service->name : exchange.pool;
 }
 
-// The reason why a request gets no response from a backend server.
+// The reason for which an instance refuses a request itself, and what it tells the caller about it.
 struct Refusal
 {
     ResultCode code = ResultCode::malformedRequest;
     std::string detail;
-    Duration retryAfter{}; // 0 if the caller should not retry
+    Duration retryAfter{}; // time before the caller may retry; 0 if it should not retry
     bool operator==(const Refusal &) const = default;
 };
 
--- a/src/entry/gateway.cc
+++ b/src/entry/gateway.cc
@@ -10,7 +10,7 @@
 namespace {
 
 constexpr std::size_t maxRequestIdLength = 64;
-// Another instance accepts the request at once.
+// Retry-after of a stopping instance. Another instance accepts the request at once.
 constexpr Duration retryOtherInstanceAfter = std::chrono::milliseconds(50);
 
 } // namespace
--- a/src/entry/instance.cc
+++ b/src/entry/instance.cc
@@ -12,9 +12,10 @@
 // Callers that still use this instance's address after it announced its stop are refused for this
 // long with a list of the other instances.
 constexpr Duration minNoticeTime = std::chrono::milliseconds(500);
-// Callers whose list of instances names this one connect until the list expires. The few that keep
-// an expired list find the port closed and use another instance; waiting longer for them would
-// leave the region without this instance for longer.
+// Time for which the port stays open beyond drainAcceptTime. Callers whose list of instances names
+// this one connect until the list expires. The few that keep an expired list find the port closed
+// and use another instance; waiting longer for them would leave the region without this instance
+// for longer.
 constexpr Duration extraServeTime = std::chrono::milliseconds(300);
 
 } // namespace
@@ -108,9 +109,9 @@
 {
     logLine(LogPart::entry, LogLevel::info, "Stopping.",
             {{"inFlight", std::to_string(m_state.inFlight)}});
-    const TimePoint began = m_state.clock.now();
-    const TimePoint until = began + m_state.settings.drainTime;
-    m_state.acceptsRequestsUntil = began + m_state.settings.drainAcceptTime;
+    const TimePoint startedAt = m_state.clock.now();
+    const TimePoint drainEnd = startedAt + m_state.settings.drainTime;
+    m_state.acceptsRequestsUntil = startedAt + m_state.settings.drainAcceptTime;
     m_state.stopping = true;
     m_control->leave();
     HttpServer &callers = *m_servers.back();
@@ -122,7 +123,7 @@
                                                        : minNoticeTime);
     callers.stopAccepting();
     while (isBusy()) {
-        if (m_state.clock.now() >= until)
+        if (m_state.clock.now() >= drainEnd)
             return false;
         std::this_thread::sleep_for(drainPollInterval);
     }
