--- a/src/entry/path-rule-filters.cc
+++ b/src/entry/path-rule-filters.cc
@@ -63,8 +63,9 @@
     }
 
     // Engines admit the most urgent prompts first, so that short prompts of an urgent service don't
-    // wait behind long prompts of another one. This raises the credit of the worst seconds of a
-    // peak from 0.48 to 0.53. Engines have 10 levels of urgency and use 5 by default.
+    // wait behind long prompts of another one. In the worst seconds of a peak, this raises the
+    // delivered share of the requests' worth from 0.48 to 0.53. Engines have 10 levels of urgency
+    // and use 5 by default.
     static int urgencyOf(const Exchange &exchange)
     {
         constexpr int mostUrgent = 3;
